--- a/dykeshift/view/__init__.py
+++ b/dykeshift/view/__init__.py
@@ -1,1 +1,1 @@
-"""The balancers' own view of their fleet: who is there, and how sure that is. No sockets but in `shell`."""
+"""Membership of the fleet of balancers by gossip (SWIM), with bounds on its size; I/O is in `shell`."""
--- a/dykeshift/view/core.py
+++ b/dykeshift/view/core.py
@@ -1,18 +1,18 @@
-"""The view: what one balancer believes of the others. Time and datagrams in, datagrams and events out.
-
-Each period the process asks one member after the other, in a shuffled order. No answer by 0.3 and 0.6 of the
-period: it asks again, and has others ask for it. No proof of life in two periods in a row (three where its
-probes often fail): it *suspects* the member, and says so. Who hears that of itself contradicts by raising its
-incarnation. A suspicion that stands for `suspicion` makes the member *unreachable* everywhere; bounds.py says
-when it is given up.
-
-Promises that hold at every instant:
- 1. Only what carries the fleet's seal counts, and only from a process that has answered a fresh random
-    question of this one; each datagram counts once. So nothing that is played again does anything.
- 2. A process that stood still, has just started, or hears no answers accuses nobody: it asks first.
- 3. A member is held against its word only at the incarnation of that word; its next word clears it.
- 4. Bytes and datagrams a second never exceed the budget, in any trouble; answers go before all else.
- 5. `at_most` falls by a leave, by a process that takes over a dead one's name, or as bounds.py says.
+"""Membership of the fleet as one balancer sees it (SWIM). Time and datagrams in, datagrams and events out.
+
+In each period the process probes one member, in a shuffled round-robin order. Without an answer by 0.3 and
+0.6 of the period it probes again, and at 0.3 also asks others for indirect probes. A member without proof
+of life in two periods in a row (three if the process's own probes often fail) becomes *suspect*, which is
+gossiped. A process that hears that it is suspected refutes that by raising its incarnation. A suspicion
+that stands for `suspicion` makes the member *unreachable* for all; bounds.py says when it is given up.
+
+Invariants that hold at every instant:
+ 1. Only datagrams with the fleet's seal count, and only from a process that has answered a fresh random
+    token of this one; each datagram counts once. So replayed datagrams have no effect.
+ 2. A process that stalled, has just started, or gets no answers suspects nobody until it has been answered.
+ 3. A member is suspected only at an incarnation that it has announced; its next incarnation clears it.
+ 4. The bytes and datagrams sent per second never exceed the budget, whatever fails; answers have priority.
+ 5. `at_most` falls only by a leave, by a process that takes over a dead one's name, or as bounds.py says.
 """
 
 from __future__ import annotations
@@ -26,38 +26,43 @@
 from dykeshift.view.bounds import Bounds, Standing
 from dykeshift.view.news import Budget, News
 from dykeshift.view.table import WORD, Address, Member, Table, bucket, life, mark, rank
-from dykeshift.view.wire import BUCKETS, BULK, HOLDS, MOST, NOBODY, REPLY, Bad, Entry, Kind, Message, Seal
-from dykeshift.view.wire import State, decode, encode, pack_entry, room
-
-PHASES = (0.0, 0.3, 0.6)  # of a period: a probe, and two more tries of it
-HELPERS = 3  # members that are asked to probe for another
-FAILS = 2  # periods in a row without proof of life before a suspicion
-TRIALS = 8  # latest probes that say how well this process itself is connected
-PROBATION = 2.0  # suspicions that it has to have more than half before it holds the lease
-SUSPICION = 6.0  # periods, times the decimal logarithm of the members: for the word to go round and back
-TOUCH = 4.0  # periods without any answer, after which this process does not trust what it believes of others
-SURE = 1.5  # periods without any answer, after which it starts to suspect nobody: it may be the one cut off
-WITNESSES = 2  # members heard last that are asked beside a silent one, to tell whose silence it is
-STALL = 1.5  # periods that it may be late before it counts as having stood still
-LOUD = 6  # periods in which each datagram carries a new word of this process, and one for each doubling
-CALM = 3.0  # periods without a change before the view counts as settled
-AGREE = 3  # members in a row whose digest is ours, for the same
-EXTRA = 6  # datagrams of news a period beyond probes and answers, while there are any
-PIECES = 6  # datagrams of entries that answer one set of sums
-INTRODUCTIONS = 4  # addresses where nobody was heard yet that are asked in a period
-TOKENS = 512  # questions that may be open
-KEEP = 20  # leases that the dead and those who left are remembered for
-RIVALS = 3  # words of another process under one's own name after which it is no dead self
-
-ANSWER, PROBE, RELAY, WORDS, GREET = range(5)
-RESERVE = {ANSWER: 0.0, PROBE: 0.1, RELAY: 0.2, WORDS: 0.35, GREET: 0.5}  # of the budget, kept
+from dykeshift.view.wire import BUCKETS, FLAG_BULK, FLAG_HOLDS_LEASE, FLAG_REPLY, MOST, NOBODY, Bad, Entry
+from dykeshift.view.wire import Kind, Message, Seal, State, decode, encode, entry_space, pack_entry
+
+PHASES = (0.0, 0.3, 0.6)  # fractions of a period at which a member is probed: once, and two retries
+PROBE_FANOUT = (
+    3  # members asked for an indirect probe, probed after a stall, or probed out of turn per period
+)
+SUSPECT_AFTER = 2  # periods in a row without proof of life before a member is suspected
+RECENT_PROBES = 8  # latest probes that show how well this process itself is connected
+LEASE_AFTER = 2.0  # suspicion timeouts for which it needs a majority before it holds the lease
+SUSPICION_PERIODS = 6.0  # times log10 of the members: for it to spread and the refutation to return
+CONTACT_TIMEOUT = 4.0  # periods without any answer, after which this process does not trust its table
+SUSPECT_CONTACT_TIMEOUT = 1.5  # periods without any answer, after which it may be cut off and suspects nobody
+CONTROL_PROBES = 2  # members heard last that are probed beside a silent one, to tell which side is cut off
+STALL = 1.5  # periods by which a timer may be late before the process counts as having stalled
+ANNOUNCE_PERIODS = (
+    6  # in which each datagram carries a new entry of this process; one more per doubling of the members
+)
+SETTLED_AFTER = 3.0  # periods without a change before the view counts as settled
+SETTLED_MATCHES = 3  # members in a row with the same digest that this takes
+GOSSIP_FANOUT = 6  # datagrams of gossip per period beyond probes and answers, while updates are queued
+SYNC_DATAGRAMS = 6  # datagrams of entries that answer one set of bucket sums
+DISCOVERY_PROBES = 4  # silent addresses that are probed per period after the start
+MAX_PENDING = 512  # open probes
+TOMBSTONE_LEASES = 20  # leases for which the dead and those who left are remembered
+TWIN_REPORTS = 3  # entries of another process of the same name, after which it is no earlier run of this one
+
+ANSWER, PROBE, RELAY, GOSSIP, DISCOVERY = range(5)  # priorities
+# The fraction of the budget that each priority leaves for the higher ones.
+RESERVE = {ANSWER: 0.0, PROBE: 0.1, RELAY: 0.2, GOSSIP: 0.35, DISCOVERY: 0.5}
 
 Out = list[tuple[bytes, Address]]
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Times in nanoseconds; `datagrams` and `size` (bytes) are a second."""
+    """Times in nanoseconds; `datagrams` and `size` (bytes) are the budget per second."""
 
     period: int = 500_000_000
     lease: int = 30_000_000_000
@@ -68,7 +73,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """What consumers hear: `joined`, `state`, `gone`, `settled`, `unsettled`, `bounds`, `twin`, `woken`."""
+    """A change that consumers are told of.
+
+    The kinds are `joined`, `state`, `gone`, `settled`, `unsettled`, `bounds`, `twin` (another process has
+    this name) and `woken` (this process had stalled).
+    """
 
     kind: str
     name: str = ""
@@ -78,17 +87,19 @@
 
 
 @dataclass(slots=True)
-class Question:
-    """An open token: whom it asks, and on whose behalf."""
+class PendingProbe:
+    """A request that has not been answered yet: to whom, and on whose behalf. Kept by its token."""
 
-    name: str  # "" where an address is asked and nobody is known there
-    sent: int
-    until: int
-    relay: tuple[str, int] | None = None  # who asked us, and that one's token
-    via: str = ""  # whom we asked for it
+    name: str  # "" for a probe of an address at which no member is known
+    sent_at: int
+    expires_at: int
+    relay: tuple[str, int] | None = None  # who requested this indirect probe, and the token of the request
+    helper_name: str = ""  # the member asked for an indirect probe of `name`
 
 
 class View:
+    """The membership protocol of one process; does no I/O. Each call returns the datagrams to send."""
+
     def __init__(
         self,
         options: Options,
@@ -96,12 +107,15 @@
         me: Entry,
         peers: tuple[Address, ...],
         own: Address | None,
-        everybody: Address | None,
+        broadcast: Address | None,
         rng: Random,
     ) -> None:
-        """`me.birth`: drawn at random for each process. `own`: its place in `peers`, where it is told."""
+        """`me.birth`: drawn at random for each process. `own`: its own address in `peers`, if configured.
+
+        `broadcast`: the address that reaches all members at once, if the network has one.
+        """
         self.options, self.seal, self.me = options, seal, me
-        self.peers, self.everybody, self.rng = peers, everybody, rng
+        self.peers, self.broadcast, self.rng = peers, broadcast, rng
         self.table, self.news = Table(), News()
         self.bounds = Bounds(options.lease, options.drift, peers, own)
         self.budget = Budget(options.datagrams, options.size, RESERVE)
@@ -109,99 +123,102 @@
         self.out: Out = []
         self.events: list[Event] = []
         self.periods = self.phase = 0
-        self.woken = self.woken_at = 0  # how often this process stood still, and its period at the last time
-        self.next_at = 0  # when on_timer wants to be called
-        self.questions: dict[int, Question] = {}
-        self.order: list[str] = []  # members still to be asked in this round
-        self.probing: dict[str, int] = {}  # members that are being asked, since when
-        self.trials: deque[bool] = deque([True] * TRIALS, TRIALS)
-        self.woke = self.answered = 0  # when it last began to ask; the last answer to a question of its own
-        self.asked = False
-        self.caught_up = False  # somebody who holds the lease had the same table since it was last in doubt
-        self.doubted = 0  # when it last took itself for cut off
+        self.woken = self.woken_at = 0  # how often this process stalled, and the period of the last time
+        self.next_at = 0  # when on_timer is due
+        self.pending: dict[int, PendingProbe] = {}
+        self.probe_order: list[str] = []  # members still to be probed in this round
+        self.probing: dict[str, int] = {}  # members probed in this period, and since when
+        self.recent_probes: deque[bool] = deque([True] * RECENT_PROBES, RECENT_PROBES)
+        self.contact_reset_at = self.answered_at = 0  # the last start or stall; the last answer to a probe
+        self.answered_since_reset = False  # a probe was answered since contact_reset_at
+        self.beliefs_confirmed = False  # a lease holder has had the same table since the last doubt
+        self.isolated_at = 0  # when it last took itself for cut off from all others
         self.seq = 0
-        self.loud_until = LOUD  # the period until which each datagram says who this is
-        self.changed = 0  # when the table last changed
-        self.agreed_with: set[str] = set()  # members in a row whose table is the same
-        self.synced = 0
-        self.rivals: dict[int, int] = {}
-        self.yielded = False  # another process has this name, and this one keeps quiet
+        self.announce_until = ANNOUNCE_PERIODS  # the period until which each datagram has its own entry
+        self.changed_at = 0  # when the table last changed
+        self.matching: set[str] = set()  # members in a row whose digest is the same
+        self.synced_at = 0  # when it last sent a SYNC because of a differing digest
+        self.twin_reports: dict[int, int] = {}  # by birth: entries of other processes of its name
+        self.yielded = False  # another process has this name, and this one only answers
         self.settled, self.settled_at = False, 0
         self.standing = Standing(1, self.bounds.places(self.table))
-        self.greeted = 0  # of the quiet addresses: where the round stands
+        self.discovery_index = 0  # position in the round over the silent addresses
 
-    # ---- what the host calls ----
+    # ---- calls of the host ----
 
     def start(self, now: int) -> Out:
-        self.budget.at = self.bounds.began = self.changed = self.settled_at = now
+        """Begin the protocol; to be called once, before all else."""
+        self.budget.at = self.bounds.started_at = self.changed_at = self.settled_at = now
         self.next_at = now
-        self._wake(now)
+        self._reset_contact(now)
         return self.on_timer(now)
 
     def on_timer(self, now: int) -> Out:
-        """To be called at `next_at` or later. Late by more than STALL periods: it stood still."""
+        """To be called at `next_at` or later. More than STALL periods late counts as a stall."""
         if now < self.next_at:
-            return self._done()
+            return self._take_output()
         self._notice_stall(now)
         if self.phase == 0:
             self._end_period(now)
             self._begin_period(now)
         else:
-            self._ask_again(now)
+            self._probe_again(now)
         self.phase = (self.phase + 1) % len(PHASES)
-        ahead = PHASES[self.phase] - PHASES[self.phase - 1] + (self.phase == 0)
-        self.next_at = max(self.next_at + int(ahead * self.options.period), now + self.options.period // 10)
-        self._review(now)
-        return self._done()
+        step = PHASES[self.phase] - PHASES[self.phase - 1] + (self.phase == 0)
+        self.next_at = max(self.next_at + int(step * self.options.period), now + self.options.period // 10)
+        self._emit_changes(now)
+        return self._take_output()
 
     def on_datagram(self, now: int, data: bytes, address: Address) -> Out:
+        """Process a received datagram."""
         self._notice_stall(now)
         try:
             message = decode(data, self.seal)
         except Bad as exc:
-            self._drop(str(exc))
-            return self._done()
-        self._take(now, message, address)
-        self._review(now)
-        return self._done()
-
-    def on_facts(self, now: int, settings: int) -> Out:
-        """This process acts on other settings from now on."""
+            self._count_drop(str(exc))
+            return self._take_output()
+        self._receive(now, message, address)
+        self._emit_changes(now)
+        return self._take_output()
+
+    def on_settings(self, now: int, settings: int) -> Out:
+        """Announce the digest of the settings that this process acts on from now on."""
         if settings != self.me.settings:
             self.me = replace(self.me, settings=settings)
-            self._raise(now)
-        return self._done()
+            self._raise_incarnation(now)
+        return self._take_output()
 
     def leave(self, now: int) -> Out:
-        """It ends. Said to some, who pass it on, and to all at once where the network does that."""
+        """Announce that this process ends: to a few members, who gossip it, and by broadcast, if any."""
         if not self.yielded:
             self.me = replace(self.me, incarnation=self.me.incarnation + 1, state=State.LEFT)
-            told = [m.address for m in self._some(10)]
-            for address in [self.everybody, *told]:
+            some = [m.address for m in self._sample_alive(10)]
+            for address in [self.broadcast, *some]:
                 if address is not None:
                     self._send(now, ANSWER, address, Kind.NEWS, entries=[self.me])
-        return self._done()
+        return self._take_output()
 
     def adopt(self, now: int, others: dict[Address, Entry]) -> None:
-        """Believe a table that was handed over otherwise than by datagrams, after `start`.
+        """Take over a table that did not come by datagrams, after `start`.
 
-        As if each of these had just answered: the state of a fleet that has long been at rest.
+        As if each of these had just answered: the state of a fleet that settled long ago.
         """
         for address, entry in others.items():
             member = self.table.put(entry, now)
             if member is not None:
-                self.table.house(member, address)
+                self.table.set_address(member, address)
                 member.verify(entry.birth, entry.incarnation, 0)
-                member.heard = member.proved = now
-        self._answered(now)
-        self.caught_up = True
-        self._review(now)
+                member.last_heard = member.answered_probe_at = now
+        self._note_answer(now)
+        self.beliefs_confirmed = True
+        self._emit_changes(now)
 
     def take_events(self) -> list[Event]:
+        """The events since the last call."""
         events, self.events = self.events, []
         return events
 
-    def _done(self) -> Out:
+    def _take_output(self) -> Out:
         out, self.out = self.out, []
         return out
 
@@ -223,20 +240,22 @@
         entries: list[Entry] | None = None,
         fill: bool = False,
     ) -> bool:
-        """Within the budget, or not at all. `fill`: with news as far as there is room."""
+        """Queue a datagram if the budget allows it. `fill`: piggyback as many updates as fit."""
         if address is None or (self.yielded and kind is not Kind.ACK):
             return False
         if not self.budget.allows(now, priority, MOST):
-            self._drop("budget")
+            self._count_drop("budget")
             return False
-        own = entries or []
-        if (kind is Kind.ACK or self.periods < self.loud_until) and self.me not in own:
-            own = [self.me, *own]
-        space = room(self.me.name) - sum(len(pack_entry(e)) for e in own) - (2 + len(target.encode()))
+        first = entries or []
+        if (kind is Kind.ACK or self.periods < self.announce_until) and self.me not in first:
+            first = [self.me, *first]
+        space = (
+            entry_space(self.me.name) - sum(len(pack_entry(e)) for e in first) - (2 + len(target.encode()))
+        )
         packed = self.news.take(space, len(self.table.members) + 1) if fill else []
         self.seq += 1
         digest = self.table.digest() ^ mark(self.me)
-        flags |= HOLDS * self.standing.holds
+        flags |= FLAG_HOLDS_LEASE * self.standing.holds
         data = encode(
             Message(
                 kind,
@@ -251,7 +270,7 @@
                 target,
                 proof,
                 sums,
-                own,
+                first,
             ),
             self.seal,
             packed,
@@ -260,17 +279,18 @@
         self.out.append((data, address))
         return True
 
-    def _drop(self, reason: str) -> None:
+    def _count_drop(self, reason: str) -> None:
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
-    def _token(self, question: Question) -> int:
-        if len(self.questions) >= TOKENS:
-            self.questions.pop(next(iter(self.questions)))
+    def _new_token(self, probe: PendingProbe) -> int:
+        """Keep the probe under a new random token; the oldest is dropped where too many are open."""
+        if len(self.pending) >= MAX_PENDING:
+            self.pending.pop(next(iter(self.pending)))
         token = self.rng.getrandbits(32) or 1
-        self.questions[token] = question
+        self.pending[token] = probe
         return token
 
-    def _ask(
+    def _send_probe(
         self,
         now: int,
         priority: int,
@@ -280,146 +300,153 @@
         entries: list[Entry] | None = None,
     ) -> None:
         if address is not None:
-            token = self._token(Question(name, now, now + 4 * self.options.period, relay))
+            token = self._new_token(PendingProbe(name, now, now + 4 * self.options.period, relay))
             if not self._send(
                 now, priority, address, Kind.PING, ask=token, entries=entries, fill=not entries
             ):
-                del self.questions[token]
+                del self.pending[token]
 
-    def _some(self, most: int, but: str = "") -> list[Member]:
-        """Members believed alive, at random."""
-        able = [m for m in self.table if m.state is State.ALIVE and m.address and m.entry.name != but]
-        return self.rng.sample(able, min(most, len(able)))
+    def _sample_alive(self, most: int, but: str = "") -> list[Member]:
+        """A random sample of members believed alive, without the one named `but`."""
+        candidates = [m for m in self.table if m.state is State.ALIVE and m.address and m.entry.name != but]
+        return self.rng.sample(candidates, min(most, len(candidates)))
 
     # ---- periods ----
 
     def _notice_stall(self, now: int) -> None:
+        """Detect that this process has stalled; a suspicion does not run out during a stall."""
         if now - self.next_at > STALL * self.options.period:
             self.events.append(Event("woken"))
             self.woken, self.woken_at = self.woken + 1, self.periods
             gap, self.next_at, self.phase = now - self.next_at, now, 0
             for member in self.table:
                 member.suspect_until += gap
-            self._wake(now)
+            self._reset_contact(now)
 
-    def _wake(self, now: int) -> None:
-        """Whatever it believed is old: nobody is accused and nothing held until somebody has answered."""
-        self.woke, self.asked, self.caught_up = now, False, False
-        self.questions.clear()
+    def _reset_contact(self, now: int) -> None:
+        """At the start or after a stall: suspect nobody and hold no lease until somebody has answered."""
+        self.contact_reset_at, self.answered_since_reset, self.beliefs_confirmed = now, False, False
+        self.pending.clear()
         self.probing.clear()
-        self.agreed_with.clear()
+        self.matching.clear()
         self.bounds.quorate_since = self.bounds.held_since = None
         for member in self.table:
-            member.fails = 0
-        for member in self._some(HELPERS):
-            self._ask(now, PROBE, member.address, member.entry.name)
+            member.failed_periods = 0
+        for member in self._sample_alive(PROBE_FANOUT):
+            self._send_probe(now, PROBE, member.address, member.entry.name)
 
-    def _in_touch(self, now: int) -> bool:
-        """Somebody has answered lately: silence of others is not this process's own."""
-        return self.asked and now - self.answered <= TOUCH * self.options.period
+    def _answered_recently(self, now: int) -> bool:
+        """Whether somebody answered lately, so that the silence of others is not this process's own fault."""
+        return self.answered_since_reset and now - self.answered_at <= CONTACT_TIMEOUT * self.options.period
 
-    def _alone(self, now: int) -> bool:
-        """Nobody answered for so long that this process takes itself for cut off."""
-        return now - max(self.answered, self.woke) > self.suspicion()
+    def _isolated(self, now: int) -> bool:
+        """Whether nobody has answered for so long that this process takes itself for cut off from all."""
+        return now - max(self.answered_at, self.contact_reset_at) > self.suspicion()
 
     def suspicion(self) -> int:
-        """How long a member has to contradict, in nanoseconds."""
+        """The suspicion timeout, within which a member can refute, in nanoseconds."""
         scale = max(1.0, math.log10(len(self.table.members) + 1))
-        return int(SUSPICION * scale * self.options.period)
+        return int(SUSPICION_PERIODS * scale * self.options.period)
 
     def _begin_period(self, now: int) -> None:
         self.periods += 1
-        for token in [t for t, q in self.questions.items() if q.until < now]:
-            del self.questions[token]
-        again = [m for m in self.table if m.fails and m.state is State.ALIVE]
-        again = self.rng.sample(again, min(HELPERS, len(again)))
+        for token in [t for t, p in self.pending.items() if p.expires_at < now]:
+            del self.pending[token]
+        again = [m for m in self.table if m.failed_periods and m.state is State.ALIVE]
+        again = self.rng.sample(again, min(PROBE_FANOUT, len(again)))
         target = self._next_target()
         known = [m for m in self.table if m.state is State.ALIVE and m.address] if again else []
-        known.sort(key=lambda m: -m.heard)
-        # The one whose turn it is comes first: where nobody answers, the others take all of the budget.
-        for member in ([target] if target else []) + again + known[:WITNESSES]:
+        known.sort(key=lambda m: -m.last_heard)
+        # The target of this period comes first: where nobody answers, the others use up the budget.
+        for member in ([target] if target else []) + again + known[:CONTROL_PROBES]:
             if member.entry.name not in self.probing:
                 self.probing[member.entry.name] = now
-                self._ask(now, PROBE, self._way_to(member), member.entry.name)
-        self._greet(now)
-        for member in self._some(EXTRA if len(self.news) else 0):
-            if not len(self.news) or not self._send(now, WORDS, member.address, Kind.NEWS, fill=True):
+                self._send_probe(now, PROBE, self._probe_address(member), member.entry.name)
+        self._probe_silent(now)
+        for member in self._sample_alive(GOSSIP_FANOUT if len(self.news) else 0):
+            if not len(self.news) or not self._send(now, GOSSIP, member.address, Kind.NEWS, fill=True):
                 break
 
     def _next_target(self) -> Member | None:
         for _ in range(2):
-            while self.order:
-                member = self.table.get(self.order.pop())
+            while self.probe_order:
+                member = self.table.get(self.probe_order.pop())
                 if member is not None and member.state <= State.SUSPECT:
                     return member
-            self.order = list(self.table.members)
-            self.rng.shuffle(self.order)
+            self.probe_order = list(self.table.members)
+            self.rng.shuffle(self.probe_order)
         return None
 
-    def _way_to(self, member: Member) -> Address | None:
-        """Who is known by hearsay alone is asked where its number says, and through others: one that died
-        before anybody left had met it is not to stay alive in all tables."""
-        return member.address or self.bounds.presumed(member)
+    def _probe_address(self, member: Member) -> Address | None:
+        """A member known only by gossip is probed at the address that its number stands for, and indirectly:
+        one that died before any remaining member had contact with it must not stay alive in all tables."""
+        return member.address or self.bounds.presumed_address(member)
 
-    def _greet(self, now: int) -> None:
-        """Those who may be there and are silent: a few each period, all in turn, so that a cut that is mended
-        and a process that came anew are found."""
-        silent = self.bounds.unheard(self.table) + sorted(self.bounds.quiet)
+    def _probe_silent(self, now: int) -> None:
+        """Probe a few silent addresses per period, all in turn, so that a partition that has healed and new
+        processes are found."""
+        silent = self.bounds.unclaimed_addresses(self.table) + sorted(self.bounds.given_up_addresses)
         silent += [m.address for m in self.table if m.state >= State.UNREACHABLE and m.address]
         if not silent:
             return
-        most = min(len(silent), INTRODUCTIONS if self.periods * INTRODUCTIONS <= 2 * len(self.peers) else 1)
+        most = min(
+            len(silent), DISCOVERY_PROBES if self.periods * DISCOVERY_PROBES <= 2 * len(self.peers) else 1
+        )
         for _ in range(most):
-            self.greeted = (self.greeted + 1) % len(silent)
-            self._ask(now, GREET, silent[self.greeted], "", entries=[self.me])
+            self.discovery_index = (self.discovery_index + 1) % len(silent)
+            self._send_probe(now, DISCOVERY, silent[self.discovery_index], "", entries=[self.me])
 
-    def _ask_again(self, now: int) -> None:
+    def _probe_again(self, now: int) -> None:
         for name, since in self.probing.items():
             member = self.table.get(name)
-            if member is None or member.heard >= since:
+            if member is None or member.last_heard >= since:
                 continue
-            self._ask(now, PROBE, self._way_to(member), name)
-            if self.phase == 1 and self._in_touch(now):  # nobody helps one that hears nobody
-                for helper in self._some(HELPERS, but=name):
+            self._send_probe(now, PROBE, self._probe_address(member), name)
+            # Without contact to others no helper can be reached either.
+            if self.phase == 1 and self._answered_recently(now):
+                for helper in self._sample_alive(PROBE_FANOUT, but=name):
                     until = now + 4 * self.options.period
-                    token = self._token(Question(name, now, until, via=helper.entry.name))
+                    token = self._new_token(PendingProbe(name, now, until, helper_name=helper.entry.name))
                     self._send(now, RELAY, helper.address, Kind.PROBE_FOR, ask=token, target=name, fill=True)
 
     def _end_period(self, now: int) -> None:
-        needed = FAILS + (sum(self.trials) < TRIALS * 7 // 8)
+        needed = SUSPECT_AFTER + (sum(self.recent_probes) < RECENT_PROBES * 7 // 8)
         for name, since in self.probing.items():
             member = self.table.get(name)
             if member is None or member.state >= State.UNREACHABLE:
                 continue
-            well = member.heard >= since
-            self.trials.append(well)
-            member.fails = 0 if well else member.fails + 1
-            sure = self.asked and now - self.answered <= SURE * self.options.period
-            if member.fails >= needed and member.state is State.ALIVE and sure:
-                self._believe(now, member, State.SUSPECT)
+            responded = member.last_heard >= since
+            self.recent_probes.append(responded)
+            member.failed_periods = 0 if responded else member.failed_periods + 1
+            connected = (
+                self.answered_since_reset
+                and now - self.answered_at <= SUSPECT_CONTACT_TIMEOUT * self.options.period
+            )
+            if member.failed_periods >= needed and member.state is State.ALIVE and connected:
+                self._set_state(now, member, State.SUSPECT)
         self.probing.clear()
-        if self._alone(now):
-            self.caught_up, self.doubted = False, now
-        if self._in_touch(now):
+        if self._isolated(now):
+            self.beliefs_confirmed, self.isolated_at = False, now
+        if self._answered_recently(now):
             for member in [m for m in self.table if m.state is State.SUSPECT and now >= m.suspect_until]:
-                self._believe(now, member, State.UNREACHABLE)
-        for member in self.bounds.to_give_up(now, self.table):
-            self._believe(now, member, State.DEAD)
-        forgotten = KEEP * self.options.lease
-        for member in [m for m in self.table if m.state >= State.DEAD and now - m.since > forgotten]:
-            self.table.drop(member)
+                self._set_state(now, member, State.UNREACHABLE)
+        for member in self.bounds.overdue_members(now, self.table):
+            self._set_state(now, member, State.DEAD)
+        retention = TOMBSTONE_LEASES * self.options.lease
+        for member in [m for m in self.table if m.state >= State.DEAD and now - m.since > retention]:
+            self.table.remove(member)
             if member.address is not None:
-                self.bounds.quiet.add(member.address)
+                self.bounds.given_up_addresses.add(member.address)
 
-    # ---- beliefs ----
+    # ---- changes of the table ----
 
-    def _believe(self, now: int, member: Member, state: State) -> None:
+    def _set_state(self, now: int, member: Member, state: State) -> None:
         entry = self.table.turn(member, state, now)
         self._after_change(now, member, entry)
 
     def _after_change(self, now: int, member: Member, entry: Entry, spread: bool = True) -> None:
-        self.changed = now
-        self.agreed_with.clear()
+        self.changed_at = now
+        self.matching.clear()
         if spread:
             self.news.add(entry)
         if entry.state is State.SUSPECT:
@@ -427,26 +454,26 @@
         if (
             entry.state in (State.SUSPECT, State.UNREACHABLE)
             and member.address is not None
-            and (now - member.heard < TOUCH * self.options.period)
+            and (now - member.last_heard < CONTACT_TIMEOUT * self.options.period)
         ):
-            self._send(now, RELAY, member.address, Kind.NEWS, entries=[entry])  # it can contradict at once
+            self._send(now, RELAY, member.address, Kind.NEWS, entries=[entry])  # lets it refute at once
         if entry.state is State.ALIVE:
-            member.fails = 0
+            member.failed_periods = 0
         kind = "gone" if entry.state >= State.DEAD else "state"
         self.events.append(Event(kind, entry.name, entry.state))
 
     def _merge(self, now: int, entry: Entry, spread: bool = True) -> None:
-        """A word on a member: taken, and passed on, where it goes before what is believed."""
+        """Take an update on a member, and gossip it, if it takes precedence over what is known."""
         if entry.name == self.me.name:
-            self._hear_of_self(now, entry)
+            self._merge_own_entry(now, entry)
             return
         known = self.table.get(entry.name)
         if known is None:
             member = self.table.put(entry, now)
             if member is None:
-                self._drop("members")
+                self._count_drop("members")
             elif entry.state >= State.DEAD:
-                self.changed = now  # kept, so that an older word does not bring it back; nothing to pass on
+                self.changed_at = now  # kept so that an older update does not bring it back; not gossiped
             else:
                 self.events.append(Event("joined", entry.name, entry.state))
                 self._after_change(now, member, entry, spread)
@@ -454,7 +481,8 @@
             self.table.put(entry, now)
             self._after_change(now, known, entry, spread)
 
-    def _hear_of_self(self, now: int, entry: Entry) -> None:
+    def _merge_own_entry(self, now: int, entry: Entry) -> None:
+        """Handle an update under this process's own name: refute it, or find a process of the same name."""
         if entry.birth == self.me.birth:
             if (
                 entry.incarnation >= self.me.incarnation
@@ -462,63 +490,65 @@
                 and (self.me.state is State.ALIVE)
             ):
                 self.me = replace(self.me, incarnation=entry.incarnation)
-                self._raise(now)
+                self._raise_incarnation(now)
             return
         if entry.incarnation < self.me.incarnation or self.yielded:
             return
-        count = self.rivals[entry.birth] = self.rivals.get(entry.birth, 0) + 1
-        if count == RIVALS:
-            self._twin(now, entry.birth)
-        if not self.yielded:  # a dead self, perhaps from a time when the wall clock was ahead
+        count = self.twin_reports[entry.birth] = self.twin_reports.get(entry.birth, 0) + 1
+        if count == TWIN_REPORTS:
+            self._report_twin(now, entry.birth)
+        if not self.yielded:  # an earlier run of this process, perhaps when the wall clock was ahead
             self.me = replace(self.me, incarnation=(life(entry.incarnation) + 1) << WORD)
-            self._raise(now)
+            self._raise_incarnation(now)
 
-    def _twin(self, now: int, birth: int) -> None:
-        """Another process at work under this name. Both say so, once, and one of them gives way."""
-        self.rivals[birth] = RIVALS
+    def _report_twin(self, now: int, birth: int) -> None:
+        """Another process runs under this name. Both report it once, and the one of lower birth yields."""
+        self.twin_reports[birth] = TWIN_REPORTS
         self.events.append(Event("twin", self.me.name))
         self.yielded = self.me.birth < birth
 
-    def _raise(self, now: int) -> None:
+    def _raise_incarnation(self, now: int) -> None:
         self.me = replace(self.me, incarnation=self.me.incarnation + 1)
-        self.loud_until = self.periods + LOUD + len(self.table.members).bit_length()
-        self.changed = now
-        self.agreed_with.clear()
+        self.announce_until = self.periods + ANNOUNCE_PERIODS + len(self.table.members).bit_length()
+        self.changed_at = now
+        self.matching.clear()
         self.news.add(self.me)
 
     # ---- receiving ----
 
-    def _take(self, now: int, message: Message, address: Address) -> None:
+    def _receive(self, now: int, message: Message, address: Address) -> None:
         if message.name == self.me.name:
-            self._take_own(now, message, address)
+            self._receive_own_name(now, message, address)
             return
-        question = self.questions.pop(message.echo, None) if message.echo else None
-        if question is not None and (
-            message.name not in (question.name or message.name, question.via)
+        probe = self.pending.pop(message.echo, None) if message.echo else None
+        if probe is not None and (
+            message.name not in (probe.name or message.name, probe.helper_name)
             or message.kind is Kind.VIA
-            and message.target != question.name
+            and message.target != probe.name
         ):
-            question = None
+            probe = None
         known = self.table.get(message.name)
-        if question is not None and message.kind is not Kind.VIA:
-            known = self._proved(now, message, address, question)
-        if known is None or known.verified != message.birth or known.entry.birth != message.birth:
-            self._answer_stranger(now, message, address)
+        if probe is not None and message.kind is not Kind.VIA:
+            known = self._accept_answer(now, message, address, probe)
+        if known is None or known.verified_birth != message.birth or known.entry.birth != message.birth:
+            self._challenge_unverified(now, message, address)
             return
-        if question is None and not known.fresh(message.incarnation, message.seq):
-            self._drop("replayed")
+        if probe is None and not known.accept(message.incarnation, message.seq):
+            self._count_drop("replayed")
             return
-        known.heard = max(known.heard, now)
-        self.table.house(known, address)
+        known.last_heard = max(known.last_heard, now)
+        self.table.set_address(known, address)
         for entry in message.entries:
-            self._merge(now, entry, not message.flags & BULK)  # sums find out who lacks the rest, too
-        if message.kind is Kind.VIA and question is not None:
-            self._proved_via(message, question)
+            self._merge(now, entry, not message.flags & FLAG_BULK)  # anti-entropy finds others that lack them
+        if message.kind is Kind.VIA and probe is not None:
+            self._accept_indirect_answer(message, probe)
         self._respond(now, message, address, known)
-        self._compare(now, message, address, question is not None)
+        self._compare_digests(now, message, address, probe is not None)
 
-    def _proved(self, now: int, message: Message, address: Address, question: Question) -> Member | None:
-        """Who answers a question of ours is at work, and is who it says."""
+    def _accept_answer(
+        self, now: int, message: Message, address: Address, probe: PendingProbe
+    ) -> Member | None:
+        """Record an answer to a probe of this process, which proves that the sender is at work."""
         entry = next(
             (e for e in message.entries if e.name == message.name and e.birth == message.birth),
             Entry(message.name, message.incarnation, message.birth),
@@ -528,72 +558,75 @@
             self._merge(now, replace(entry, incarnation=message.incarnation, state=State.ALIVE))
             known = self.table.get(message.name)
             if known is None or known.entry.birth != message.birth:
-                return None  # it has to hear first of who had its name
+                return None  # its entry does not take precedence: it has to hear of that first
         known.verify(message.birth, message.incarnation, message.seq)
-        known.fresh(message.incarnation, message.seq)
-        known.heard = max(known.heard, question.sent)
-        known.proved = question.sent
+        known.accept(message.incarnation, message.seq)
+        known.last_heard = max(known.last_heard, probe.sent_at)
+        known.answered_probe_at = probe.sent_at
         if known.address != address:
             for other in self.table:
                 if other.address == address:
-                    self.table.house(other, None)
-            self.table.house(known, address)
+                    self.table.set_address(other, None)
+            self.table.set_address(known, address)
         self.bounds.heard_at(address)
-        self._answered(now)
-        if question.relay is not None:
-            asker = self.table.get(question.relay[0])
+        self._note_answer(now)
+        if probe.relay is not None:
+            asker = self.table.get(probe.relay[0])
             if asker is not None:
                 self._send(
                     now,
                     RELAY,
                     asker.address,
                     Kind.VIA,
-                    echo=question.relay[1],
+                    echo=probe.relay[1],
                     target=message.name,
                     proof=(message.birth, message.incarnation),
                     fill=True,
                 )
         return known
 
-    def _answered(self, now: int) -> None:
-        self.answered, self.asked = now, True
+    def _note_answer(self, now: int) -> None:
+        self.answered_at, self.answered_since_reset = now, True
 
-    def _proved_via(self, message: Message, question: Question) -> None:
+    def _accept_indirect_answer(self, message: Message, probe: PendingProbe) -> None:
         member = self.table.get(message.target)
         if member is not None and member.entry.birth == message.proof[0]:
-            member.heard = max(member.heard, question.sent)
-            member.proved = question.sent
+            member.last_heard = max(member.last_heard, probe.sent_at)
+            member.answered_probe_at = probe.sent_at
 
-    def _answer_stranger(self, now: int, message: Message, address: Address) -> None:
-        """Who has not proved to be at work now is told what is known of its name, and asked; nothing it says
-        counts."""
-        self._drop("unverified")
+    def _challenge_unverified(self, now: int, message: Message, address: Address) -> None:
+        """Answer a sender that has not proved to be at work now with what is known of its name, and probe it.
+        Nothing that it says counts."""
+        self._count_drop("unverified")
         if message.kind in (Kind.PING, Kind.SYNC, Kind.PROBE_FOR) and message.ask or message.echo:
             known = self.table.get(message.name)
             entries = [self.me]
             if known is not None and rank(known.entry) > (message.incarnation, message.birth, State.ALIVE):
                 entries.append(known.entry)
-            token = self._token(Question(message.name, now, now + 4 * self.options.period))
+            token = self._new_token(PendingProbe(message.name, now, now + 4 * self.options.period))
             self._send(now, ANSWER, address, Kind.ACK, ask=token, echo=message.ask, entries=entries)
 
-    def _take_own(self, now: int, message: Message, address: Address) -> None:
+    def _receive_own_name(self, now: int, message: Message, address: Address) -> None:
         if message.birth == self.me.birth:
-            self.bounds.own = address  # this process's own place among the peers
+            self.bounds.own = address  # this process's own address among the peers
             return
-        question = self.questions.pop(message.echo, None) if message.echo else None
-        if question is not None and question.name in ("", self.me.name):
-            if self.rivals.get(message.birth, 0) < RIVALS:
-                self._twin(now, message.birth)  # it answers: no dead self
+        probe = self.pending.pop(message.echo, None) if message.echo else None
+        if probe is not None and probe.name in ("", self.me.name):
+            if self.twin_reports.get(message.birth, 0) < TWIN_REPORTS:
+                self._report_twin(now, message.birth)  # it answers, so it is no earlier run of this process
         elif message.ask:
-            token = self._token(Question(self.me.name, now, now + 4 * self.options.period))
+            token = self._new_token(PendingProbe(self.me.name, now, now + 4 * self.options.period))
             self._send(now, ANSWER, address, Kind.ACK, ask=token, echo=message.ask, entries=[self.me])
 
     def _respond(self, now: int, message: Message, address: Address, known: Member) -> None:
-        entries = [known.entry] if known.state is not State.ALIVE else []  # it does not know yet
+        # Tells a sender that is not believed alive of that, so that it can refute it.
+        entries = [known.entry] if known.state is not State.ALIVE else []
         if message.kind is Kind.PROBE_FOR:
             target = self.table.get(message.target)
             if target is not None:
-                self._ask(now, RELAY, target.address, message.target, relay=(message.name, message.ask))
+                self._send_probe(
+                    now, RELAY, target.address, message.target, relay=(message.name, message.ask)
+                )
         elif message.ask:
             self._send(now, ANSWER, address, Kind.ACK, echo=message.ask, entries=entries, fill=True)
         elif entries:
@@ -601,50 +634,52 @@
         if message.sums:
             self._answer_sums(now, message, address)
 
-    # ---- tables that differ ----
+    # ---- anti-entropy ----
 
-    def _compare(self, now: int, message: Message, address: Address, answers: bool) -> None:
-        """`answers`: a question of ours, so that it is no old word that lay unread."""
+    def _compare_digests(self, now: int, message: Message, address: Address, answers: bool) -> None:
+        """`answers`: the message answers a probe of this process, so it has not been queued for long."""
         if message.digest == self.table.digest() ^ mark(self.me):
-            self.agreed_with.add(message.name)
-            self.caught_up = self.caught_up or answers and bool(message.flags & HOLDS)
+            self.matching.add(message.name)
+            self.beliefs_confirmed = (
+                self.beliefs_confirmed or answers and bool(message.flags & FLAG_HOLDS_LEASE)
+            )
             return
-        self.agreed_with.clear()
-        if now - self.synced > self.options.period and message.kind is not Kind.SYNC:
-            self.synced = now
-            self._send(now, WORDS, address, Kind.SYNC, sums=self._sums())
+        self.matching.clear()
+        if now - self.synced_at > self.options.period and message.kind is not Kind.SYNC:
+            self.synced_at = now
+            self._send(now, GOSSIP, address, Kind.SYNC, sums=self._bucket_sums())
 
-    def _sums(self) -> tuple[int, ...]:
-        """With this process itself, as the others have it."""
+    def _bucket_sums(self) -> tuple[int, ...]:
+        """The sums of the table with this process itself in it, as the others have them."""
         sums = list(self.table.short_sums())
         sums[bucket(self.me.name)] ^= mark(self.me) & 0xFFFFFFFF
         return tuple(sums)
 
     def _answer_sums(self, now: int, message: Message, address: Address) -> None:
-        """All of a few buckets that differ, in as many pieces as one answer may have; the rest next time."""
-        ours = self._sums()
-        differing = [n for n in range(BUCKETS) if ours[n] != message.sums[n]]
+        """Send the entries of differing buckets, in SYNC_DATAGRAMS datagrams at most; the rest next time."""
+        own_sums = self._bucket_sums()
+        differing = [n for n in range(BUCKETS) if own_sums[n] != message.sums[n]]
         self.rng.shuffle(differing)
         entries = [e for n in differing for e in self.table.in_bucket(n)]
         if bucket(self.me.name) in differing:
             entries.append(self.me)
-        for _ in range(PIECES):
-            piece, space = list[Entry](), room(self.me.name)
+        for _ in range(SYNC_DATAGRAMS):
+            batch, space = list[Entry](), entry_space(self.me.name)
             while entries and (space := space - len(pack_entry(entries[-1]))) >= 0:
-                piece.append(entries.pop())
-            if not piece or not self._send(now, WORDS, address, Kind.NEWS, entries=piece, flags=BULK):
+                batch.append(entries.pop())
+            if not batch or not self._send(now, GOSSIP, address, Kind.NEWS, entries=batch, flags=FLAG_BULK):
                 break
-        if not message.flags & REPLY:
-            self._send(now, WORDS, address, Kind.SYNC, sums=ours, flags=REPLY)
+        if not message.flags & FLAG_REPLY:
+            self._send(now, GOSSIP, address, Kind.SYNC, sums=own_sums, flags=FLAG_REPLY)
 
-    # ---- what is told ----
+    # ---- events and figures ----
 
-    def _review(self, now: int) -> None:
-        """Say what has changed for those who listen."""
-        self.bounds.probation = int(PROBATION * self.suspicion())
-        alone = self.bounds.places(self.table) == 1  # nobody else can be at work: nobody has to answer
-        awake = not self.yielded and (alone or self._in_touch(now))
-        standing = self.bounds.stand(now, self.table, awake, self._known_alive(now))
+    def _emit_changes(self, now: int) -> None:
+        """Update the bounds and the settled flag; emit an event for each that has changed."""
+        self.bounds.quorum_delay = int(LEASE_AFTER * self.suspicion())
+        alone = self.bounds.places(self.table) == 1  # no other can be at work, so no answer is needed
+        in_contact = not self.yielded and (alone or self._answered_recently(now))
+        standing = self.bounds.evaluate(now, self.table, in_contact, self._count_alive(now))
         if (standing.at_least, standing.at_most, standing.holds) != (
             self.standing.at_least,
             self.standing.at_most,
@@ -663,36 +698,37 @@
                 )
             )
 
-    def _known_alive(self, now: int) -> int:
-        """Of the others. What it believed before it stood still, or was cut off, counts once one who holds
-        the lease believes the same; until then those who have answered since.
+    def _count_alive(self, now: int) -> int:
+        """How many others are known to be alive. What was believed before a stall or a loss of contact counts
+        again once a lease holder has the same table; until then, only those who have answered since.
         """
-        if not self.asked or self._alone(now):
+        if not self.answered_since_reset or self._isolated(now):
             return 0
-        if self.caught_up:
+        if self.beliefs_confirmed:
             return self.table.alive
-        since = max(self.woke, self.doubted)
-        return sum(m.state is State.ALIVE and m.proved >= since for m in self.table)
+        since = max(self.contact_reset_at, self.isolated_at)
+        return sum(m.state is State.ALIVE and m.answered_probe_at >= since for m in self.table)
 
     def _is_settled(self, now: int) -> bool:
-        if self.yielded or now - self.changed < CALM * self.options.period:
+        if self.yielded or now - self.changed_at < SETTLED_AFTER * self.options.period:
             return False
-        if self._alone(now):
-            return True  # it reaches nobody
-        if not self.asked or not self._in_touch(now):
+        if self._isolated(now):
+            return True  # it reaches nobody, so nothing can change
+        if not self.answered_since_reset or not self._answered_recently(now):
             return False
-        return len(self.agreed_with) >= min(AGREE, self.table.alive) and not self.table.suspects
+        return len(self.matching) >= min(SETTLED_MATCHES, self.table.alive) and not self.table.suspects
 
     def state_of(self, now: int, member: Member) -> State:
-        """Cut off from all, this process can reach none of those it last knew alive."""
-        return State.UNREACHABLE if member.state < State.UNREACHABLE and self._alone(now) else member.state
+        """The state of a member to report: unreachable while this process is cut off from all."""
+        return State.UNREACHABLE if member.state < State.UNREACHABLE and self._isolated(now) else member.state
 
     def digest(self, now: int) -> str:
-        own = self.me.birth if self._alone(now) or self.yielded else 0  # such a view is nobody else's
+        """The digest of the view, equal for all members that agree."""
+        own = self.me.birth if self._isolated(now) or self.yielded else 0  # then no other has this view
         return f"{self.table.digest() ^ mark(self.me) ^ own:016x}"
 
     def summary(self, now: int) -> dict[str, Any]:
-        """For the console. Seconds, counts, hexadecimal digests."""
+        """The view for the console: seconds, counts, hexadecimal digests."""
 
         def row(entry: Entry, state: State, since: int) -> dict[str, Any]:
             return {
@@ -706,7 +742,7 @@
                 "since_s": round(max(0, now - since) / 1e9, 3),
             }
 
-        rows = [row(self.me, self.me.state, self.bounds.began)]
+        rows = [row(self.me, self.me.state, self.bounds.started_at)]
         rows += [row(m.entry, self.state_of(now, m), m.since) for m in self.table]
         rows.sort(key=lambda r: str(r["name"]))
         return {
@@ -719,7 +755,7 @@
             "holds_lease": self.standing.holds,
             "lease_s": self.options.lease / 1e9,
             "yielded": self.yielded,
-            "twin": self.yielded or any(n >= RIVALS for n in self.rivals.values()),
+            "twin": self.yielded or any(n >= TWIN_REPORTS for n in self.twin_reports.values()),
             "digest": self.digest(now),
             "periods": self.periods,
             "woken": self.woken,
--- a/dykeshift/view/news.py
+++ b/dykeshift/view/news.py
@@ -1,14 +1,15 @@
-"""What is to be passed on, the least often sent first; and the hard budget of what is sent at all."""
+"""The queue of membership updates to gossip, least often sent first, and the rate limit of all sending."""
 
 from __future__ import annotations
 
 from dykeshift.view.wire import Entry, pack_entry
 
-ROUNDS = 1  # times log2 of the members: how often each one passes a word on; sums find what that misses
+# Times log2 of the members: how often a process retransmits an update. Anti-entropy repairs what that misses.
+RETRANSMIT_FACTOR = 1
 
 
 class News:
-    """Words by how often they were sent: one dict for each number, so that the next is found at once."""
+    """Updates by how often they were sent: one dict for each count, so that the next is found at once."""
 
     def __init__(self) -> None:
         self.levels: list[dict[str, bytes]] = []
@@ -18,7 +19,7 @@
         return len(self.level_of)
 
     def add(self, entry: Entry) -> None:
-        """A newer word on a member takes the older one's place."""
+        """Queue an update; it replaces an older one for the same member."""
         self._remove(entry.name)
         if not self.levels:
             self.levels.append({})
@@ -31,8 +32,8 @@
             del self.levels[level][name]
 
     def take(self, space: int, members: int) -> list[bytes]:
-        """What fits into so many bytes, counted as sent."""
-        chosen, most = list[tuple[str, int, bytes]](), ROUNDS * max(1, members).bit_length()
+        """The packed updates that fit into `space` bytes, counted as sent."""
+        chosen, max_sends = list[tuple[str, int, bytes]](), RETRANSMIT_FACTOR * max(1, members).bit_length()
         for number, level in enumerate(self.levels):
             for name, packed in level.items():
                 if len(packed) > space:
@@ -44,7 +45,7 @@
             break
         for name, number, packed in chosen:
             del self.levels[number][name]
-            if number + 1 >= most:
+            if number + 1 >= max_sends:
                 del self.level_of[name]
                 continue
             if number + 1 == len(self.levels):
@@ -55,27 +56,29 @@
 
 
 class Budget:
-    """Bytes and datagrams a second, whatever happens: what matters less leaves more of them for the rest."""
+    """Token buckets for bytes and datagrams; lower priorities leave a reserve for the higher ones."""
 
     def __init__(self, datagrams: float, size: float, reserve: dict[int, float]) -> None:
-        """`datagrams`, `size` (bytes): a second. `reserve`: by priority, the part that stays for others."""
+        """`datagrams`, `size` (bytes): per second. `reserve`: by priority, the fraction that it leaves."""
         self.rates = (datagrams, size)
-        self.left = [datagrams, size]  # a second's worth may be sent at once
+        self.left = [datagrams, size]  # tokens; a burst may use those of one second
         self.reserve = reserve
         self.at = 0
         self.sent = [0, 0]
 
     def allows(self, now: int, priority: int, size: int) -> bool:
-        """Whether a datagram of this size may go now."""
+        """Whether a datagram of this size may be sent now."""
         passed = max(0, now - self.at) / 1e9
         self.at = max(self.at, now)
         for n, rate in enumerate(self.rates):
             self.left[n] = min(rate, self.left[n] + rate * passed)
-        kept = self.reserve[priority]
-        return self.left[0] >= 1 + kept * self.rates[0] and self.left[1] >= size + kept * self.rates[1]
+        reserved = self.reserve[priority]
+        return (
+            self.left[0] >= 1 + reserved * self.rates[0] and self.left[1] >= size + reserved * self.rates[1]
+        )
 
     def spend(self, size: int) -> None:
-        """One of so many bytes has gone."""
+        """Record that a datagram of this size was sent."""
         for n, used in enumerate((1, size)):
             self.left[n] -= used
             self.sent[n] += used
--- a/dykeshift/view/table.py
+++ b/dykeshift/view/table.py
@@ -1,9 +1,10 @@
-"""The table of members: what is believed of each, which of two words on one member goes before the other,
-and a digest that is equal wherever the tables are.
+"""The membership table: the state believed of each member, the precedence of two entries for the same member,
+and a digest that is equal wherever the tables are equal.
 
-Of two words the higher incarnation wins, then the higher birth, then the later state. An incarnation is the
-life of a process (48 bits: Unix milliseconds of its start, or one more than any life of its name that it has
-heard of, whichever is more) and its own word (16 bits), which it raises to contradict what is said of it.
+Of two entries the higher incarnation wins, then the higher birth, then the later state. The upper 48 bits
+of an incarnation are the generation of the process: the Unix milliseconds of its start, or one more than
+any generation of its name that it has heard of, whichever is higher. The lower 16 bits are a counter that
+the process raises to refute what is said of it.
 """
 
 from __future__ import annotations
@@ -16,22 +17,24 @@
 
 Address = tuple[str, int]
 
-WORD = 16  # bits of an incarnation that count a process's contradictions
-WINDOW = 128  # datagrams of one sender of which each is taken once, in any order: seconds of its budget
-MOST_MEMBERS = 4096  # names of which anything is kept; beyond them strangers are not taken in
+WORD = 16  # low bits of an incarnation that count the refutations of a process
+WINDOW = 128  # size of the anti-replay window per sender, in datagrams: several seconds of its budget
+MOST_MEMBERS = 4096  # members kept in the table; unknown names beyond that are dropped
 
 
 def life(incarnation: int) -> int:
+    """The generation of the process, which each start of it raises."""
     return incarnation >> WORD
 
 
 def bucket(name: str) -> int:
+    """The bucket of a member, for the comparison of tables by the sums of their buckets."""
     return hashlib.blake2s(name.encode()).digest()[0] % BUCKETS
 
 
 def mark(entry: Entry) -> int:
-    """A member's part of the digest: of those who are there or may be. Who is gone for good is forgotten at
-    times of each one's own."""
+    """The digest of one entry; 0 for the dead and those who left, as each process forgets these at its own
+    time."""
     if entry.state >= State.DEAD:
         return 0
     text = f"{entry.name}\0{entry.incarnation}\0{entry.birth}\0{int(entry.state)}".encode()
@@ -39,70 +42,76 @@
 
 
 def rank(entry: Entry) -> tuple[int, int, int]:
+    """Sort key by which the higher of two entries for a member takes precedence."""
     return entry.incarnation, entry.birth, entry.state
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """One other balancer as this one sees it. Times in nanoseconds of this process's own clock."""
+    """What this process knows of another balancer. Times in nanoseconds of this process's own clock."""
 
     entry: Entry
-    since: int  # when its state became what it is
+    since: int  # when its state last changed
     bucket: int
-    mark: int  # its part of the digest
-    heard: int = 0  # the last proof that it was at work then
-    proved: int = 0  # when it was last asked what it has answered: unread words may be old, answers are not
+    digest: int  # its part of the digest of the table
+    last_heard: int = 0  # the latest time at which it was provably at work
+    # When the last probe that it answered was sent; unlike an answer, other datagrams may be old.
+    answered_probe_at: int = 0
     address: Address | None = None
-    verified: int = 0  # the birth that has answered a question of ours; 0: none has
-    last: int = -1  # the highest number of a datagram taken from that life
-    taken: int = 0  # bits: which of the WINDOW before it
-    window_life: int = 0
-    fails: int = 0  # probes in a row with no proof
+    verified_birth: int = 0  # the birth that has answered a probe of this process; 0: none has
+    newest_seq: int = -1  # the highest sequence number accepted from that generation
+    seen: int = 0  # bit n: whether the sequence number newest_seq - n was accepted
+    window_generation: int = 0
+    failed_periods: int = 0  # periods in a row in which it did not answer
     suspect_until: int = 0
 
     @property
     def state(self) -> State:
+        """The state believed of it."""
         return self.entry.state
 
-    def fresh(self, incarnation: int, seq: int) -> bool:
-        """Whether a datagram is new, and note it: one that is played again is not."""
-        if life(incarnation) != self.window_life:
-            if life(incarnation) < self.window_life:
+    def accept(self, incarnation: int, seq: int) -> bool:
+        """Whether a datagram is new, and record it as seen: replayed ones are not new."""
+        if life(incarnation) != self.window_generation:
+            if life(incarnation) < self.window_generation:
                 return False
-            self.window_life, self.last, self.taken = life(incarnation), -1, 0
-        ahead = seq - self.last
+            self.window_generation, self.newest_seq, self.seen = life(incarnation), -1, 0
+        ahead = seq - self.newest_seq
         if ahead > 0:
-            self.taken = (self.taken << ahead | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
-            self.last = seq
+            self.seen = (self.seen << ahead | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
+            self.newest_seq = seq
             return True
-        if -ahead >= WINDOW or self.taken >> -ahead & 1:
+        if -ahead >= WINDOW or self.seen >> -ahead & 1:
             return False
-        self.taken |= 1 << -ahead
+        self.seen |= 1 << -ahead
         return True
 
     def verify(self, birth: int, incarnation: int, seq: int) -> None:
-        """It has answered a question of ours just now: whatever it sent before that is old."""
-        if self.verified != birth:
-            self.verified, self.window_life = birth, life(incarnation)
-            self.last, self.taken = seq, (1 << WINDOW) - 1
+        """Record that it answered a probe just now: whatever it sent before that counts as replayed."""
+        if self.verified_birth != birth:
+            self.verified_birth, self.window_generation = birth, life(incarnation)
+            self.newest_seq, self.seen = seq, (1 << WINDOW) - 1
 
 
 @dataclass(slots=True)
 class Table:
+    """The members by name, with the counts and bucket sums (XOR of the members' digests) kept up to date."""
+
     members: dict[str, Member] = field(default_factory=dict)
     sums: list[int] = field(default_factory=lambda: [0] * BUCKETS)
     alive: int = 0  # members in that state
     suspects: int = 0
-    version: int = 0  # rises with each change of a state or an address
+    version: int = 0  # raised by each change of a state or an address
 
     def __iter__(self) -> Iterator[Member]:
         return iter(self.members.values())
 
     def get(self, name: str) -> Member | None:
+        """The member of this name, if there is one."""
         return self.members.get(name)
 
-    def house(self, member: Member, address: Address | None) -> None:
-        """It lives at this address from now on."""
+    def set_address(self, member: Member, address: Address | None) -> None:
+        """Change the address of a member."""
         if member.address != address:
             member.address = address
             self.version += 1
@@ -113,16 +122,18 @@
         self.suspects += by * (state is State.SUSPECT)
 
     def digest(self) -> int:
+        """XOR of the bucket sums."""
         total = 0
-        for one in self.sums:
-            total ^= one
+        for value in self.sums:
+            total ^= value
         return total
 
     def short_sums(self) -> tuple[int, ...]:
-        return tuple(one & 0xFFFFFFFF for one in self.sums)
+        """The low 32 bits of each bucket sum, as they are sent."""
+        return tuple(value & 0xFFFFFFFF for value in self.sums)
 
     def put(self, entry: Entry, now: int) -> Member | None:
-        """Take an entry in, whatever was believed; None: the table is full of others."""
+        """Store an entry, without regard to precedence. None: it is unknown and the table is full."""
         known = self.members.get(entry.name)
         new = mark(entry)
         if known is None:
@@ -134,20 +145,22 @@
             known.since = now
             self._count(known.entry.state, -1)
             self._count(entry.state, 1)
-        self.sums[known.bucket] ^= known.mark ^ new
-        known.entry, known.mark = entry, new
+        self.sums[known.bucket] ^= known.digest ^ new
+        known.entry, known.digest = entry, new
         return known
 
     def turn(self, member: Member, state: State, now: int) -> Entry:
-        """Believe another state of the same life."""
+        """Change the state of a member at the same incarnation."""
         entry = replace(member.entry, state=state)
         self.put(entry, now)
         return entry
 
-    def drop(self, member: Member) -> None:
+    def remove(self, member: Member) -> None:
+        """Forget a member."""
         del self.members[member.entry.name]
         self._count(member.entry.state, -1)
-        self.sums[member.bucket] ^= member.mark
+        self.sums[member.bucket] ^= member.digest
 
     def in_bucket(self, number: int) -> list[Entry]:
+        """The entries of all members of a bucket."""
         return [m.entry for m in self if m.bucket == number]
--- a/dykeshift/view/wire.py
+++ b/dykeshift/view/wire.py
@@ -1,4 +1,4 @@
-"""Datagrams between balancers, byte by byte; `docs/design/view.md` has the same as a table.
+"""Encoding of the datagrams between balancers; `docs/design/view.md` has the format as a table.
 
 A datagram is at most 256 bytes, numbers are big-endian:
 
@@ -6,12 +6,11 @@
      1  kind                               28  flags
      2  tag of the fleet's name, 2 bytes   29  length of the sender's name, then the name in UTF-8
      4  birth of the process, 4 bytes       .  fields: type, length, value
-     8  incarnation, 8 bytes               -8  seal: BLAKE2s over all before it, keyed, personal to the fleet
-    16  number of the datagram, 4 bytes
+     8  incarnation, 8 bytes               -8  seal: keyed BLAKE2s (MAC) over all before it, fleet as `person`
+    16  sequence number, 4 bytes
 
-A reader drops a version that it does not know as a whole, a kind that it does not know as a whole, and
-passes over fields that it does not know and over what stands behind the known part of a field. Any bytes at
-all end in a message or in `Bad` with one of `REASONS`.
+A receiver drops datagrams of an unknown version or kind. It skips unknown fields, and the bytes after the
+known part of a field. Any input gives either a message or `Bad` with one of `REASONS`.
 """
 
 from __future__ import annotations
@@ -23,49 +22,51 @@
 from enum import IntEnum
 
 VERSION = 1
-MOST = 256  # bytes in a datagram, by the platform's protocol
-SEAL = 8
-HEAD = struct.Struct(">BBHIQIQBB")
+MOST = 256  # bytes in a datagram, as the platform's protocol demands
+SEAL = 8  # bytes
+HEADER = struct.Struct(">BBHIQIQBB")
 ENTRY = struct.Struct(">QIBHHBIHB")
 PROOF = struct.Struct(">IQ")
 BUCKETS = 16
-NOBODY = 0xFFFF  # the number of a member that was told none
-LONGEST_NAME = 64  # bytes: a name, a target and one entry always fit into one datagram
-REASONS = ("size", "version", "fleet", "seal", "form")  # why a datagram is no message
+NOBODY = 0xFFFF  # the number of a member that has none configured
+LONGEST_NAME = 64  # bytes, so that a name, a target and one entry always fit into one datagram
+REASONS = ("size", "version", "fleet", "seal", "form")  # why a datagram is rejected
 
 
 class Kind(IntEnum):
-    PING = 1  # owes an ACK where it asks
+    """The kind of a message."""
+
+    PING = 1  # a probe; to be answered by an ACK if it has an `ask` token
     ACK = 2
-    PROBE_FOR = 3  # asks to probe `target` and to say how that went
-    VIA = 4  # `target` answered somebody who was asked to probe it
-    SYNC = 5  # sums of the sender's buckets
+    PROBE_FOR = 3  # requests an indirect probe: to probe `target` and report its answer
+    VIA = 4  # the answer to PROBE_FOR: `target` has answered the probe
+    SYNC = 5  # anti-entropy: sums of the sender's buckets
     NEWS = 6  # entries only
 
 
 class State(IntEnum):
-    """What is believed of a member. At one incarnation the later of these goes before the earlier."""
+    """The state believed of a member. At equal incarnations the later of these takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
-    UNREACHABLE = 2  # silent for those who say so; it may be at work elsewhere
-    DEAD = 3  # silent for longer than the lease of everybody
+    UNREACHABLE = 2  # its suspicion timed out; it may still be at work elsewhere
+    DEAD = 3  # given up: silent for longer than every process's lease lasts
     LEFT = 4
 
 
 class Bad(Exception):
-    """These bytes are no message; `args[0]` is one of REASONS."""
+    """The bytes are no valid message of this fleet; `args[0]` is one of REASONS."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """What is told of one member."""
+    """What is gossiped of one member."""
 
     name: str
     incarnation: int
     birth: int
     state: State = State.ALIVE
-    number: int = NOBODY
+    number: int = NOBODY  # position in the list of peers
     tier: int = 0  # addresses in its list of peers
     zone: int = 0
     settings: int = 0  # digest of the settings that it acts on
@@ -74,6 +75,8 @@
 
 @dataclass(slots=True)
 class Message:
+    """A decoded datagram; `name`, `birth` and `incarnation` are the sender's."""
+
     kind: Kind
     name: str
     birth: int
@@ -81,21 +84,22 @@
     seq: int
     digest: int
     flags: int = 0
-    ask: int = 0  # a token that the answer has to carry; 0: nothing is asked
-    echo: int = 0  # the token that this answers
+    ask: int = 0  # a token that the answer has to return in `echo`; 0: no answer is requested
+    echo: int = 0  # the token of the request that this answers; 0: none
     target: str = ""
     proof: tuple[int, int] = (0, 0)  # birth and incarnation that `target` answered with
     sums: tuple[int, ...] = ()
     entries: list[Entry] = field(default_factory=list)
 
 
-ASK, ECHO, TARGET, MEMBER, SUMS, OF = 1, 2, 3, 4, 5, 6
-REPLY, BULK = 1, 2  # flags: a SYNC that answers one; entries that an answer to sums brings
-HOLDS = 4  # a flag: its sender holds the lease, so that what it believes has been confirmed by more than half
+# Types of fields.
+FIELD_ASK, FIELD_ECHO, FIELD_TARGET, FIELD_ENTRY, FIELD_SUMS, FIELD_PROOF = 1, 2, 3, 4, 5, 6
+FLAG_REPLY, FLAG_BULK = 1, 2  # a SYNC that answers another SYNC; entries sent in answer to sums
+FLAG_HOLDS_LEASE = 4  # the sender holds the lease, so that its table has been confirmed by a majority
 
 
 class Seal:
-    """Who belongs to a fleet: its name, and a key where one is shared."""
+    """Computes message authentication codes for a fleet, by its name and its shared key, if any."""
 
     def __init__(self, fleet: str, key: bytes = b"") -> None:
         """`key`: at most 32 bytes (BLAKE2s)."""
@@ -104,10 +108,12 @@
         self.person, self.key = name[:8], key
 
     def of(self, data: bytes) -> bytes:
+        """The authentication code of `data`."""
         return hashlib.blake2s(data, digest_size=SEAL, key=self.key, person=self.person).digest()
 
 
 def pack_entry(entry: Entry) -> bytes:
+    """Encode an entry as a field, with its type and length."""
     name = entry.name.encode()
     body = (
         ENTRY.pack(
@@ -123,22 +129,22 @@
         )
         + name
     )
-    return bytes((MEMBER, len(body))) + body
+    return bytes((FIELD_ENTRY, len(body))) + body
 
 
 def _unpack_entry(value: bytes) -> Entry:
     incarnation, birth, state, number, tier, zone, settings, program, length = ENTRY.unpack_from(value)
     name = value[ENTRY.size : ENTRY.size + length]
     if not 0 < length <= LONGEST_NAME or len(name) < length:
-        raise ValueError("a name is cut off")
+        raise ValueError("truncated name in an entry")
     return Entry(name.decode(), incarnation, birth, State(state), number, tier, zone, settings, program)
 
 
 def encode(message: Message, seal: Seal, packed: list[bytes] | None = None) -> bytes:
-    """`packed`: entries that are packed already, after the message's own. What does not fit is left out."""
+    """`packed`: encoded entries that follow the message's own. Entries that do not fit are left out."""
     name = message.name.encode()
     parts = [
-        HEAD.pack(
+        HEADER.pack(
             VERSION,
             message.kind,
             seal.tag,
@@ -152,38 +158,39 @@
         name,
     ]
     if message.ask:
-        parts.append(struct.pack(">BBI", ASK, 4, message.ask))
+        parts.append(struct.pack(">BBI", FIELD_ASK, 4, message.ask))
     if message.echo:
-        parts.append(struct.pack(">BBI", ECHO, 4, message.echo))
+        parts.append(struct.pack(">BBI", FIELD_ECHO, 4, message.echo))
     if message.target:
         target = message.target.encode()
-        parts.append(bytes((TARGET, len(target))) + target)
+        parts.append(bytes((FIELD_TARGET, len(target))) + target)
     if message.proof[0]:
-        parts.append(bytes((OF, PROOF.size)) + PROOF.pack(*message.proof))
+        parts.append(bytes((FIELD_PROOF, PROOF.size)) + PROOF.pack(*message.proof))
     if message.sums:
-        parts.append(bytes((SUMS, 4 * BUCKETS)) + struct.pack(f">{BUCKETS}I", *message.sums))
+        parts.append(bytes((FIELD_SUMS, 4 * BUCKETS)) + struct.pack(f">{BUCKETS}I", *message.sums))
     size = sum(map(len, parts)) + SEAL
-    for one in [pack_entry(entry) for entry in message.entries] + (packed or []):
-        if size + len(one) <= MOST:
-            parts.append(one)
-            size += len(one)
+    for field_bytes in [pack_entry(entry) for entry in message.entries] + (packed or []):
+        if size + len(field_bytes) <= MOST:
+            parts.append(field_bytes)
+            size += len(field_bytes)
     data = b"".join(parts)
     return data + seal.of(data)
 
 
-def room(name: str) -> int:
-    """Bytes for entries in a message of this sender that asks and answers."""
-    return MOST - SEAL - HEAD.size - len(name.encode()) - 12
+def entry_space(name: str) -> int:
+    """Bytes left for entries in a message of this sender that has both an `ask` and an `echo` field."""
+    return MOST - SEAL - HEADER.size - len(name.encode()) - 12
 
 
-def unseal(data: bytes, seal: Seal, head: struct.Struct, least: int) -> tuple[int, ...]:
-    """The head's fields behind version and fleet: the kind, and the rest. `least`: bytes before the seal.
+def unseal(data: bytes, seal: Seal, header: struct.Struct, min_size: int) -> tuple[int, ...]:
+    """Check size, version, fleet and seal; return the kind and the header's fields after the tag.
 
-    Heads begin with version, kind and tag. Raises Bad for what is no datagram of this fleet.
+    Headers begin with version, kind and tag. `min_size`: the fewest bytes before the seal. Raises Bad for
+    what is no datagram of this fleet.
     """
-    if not least + SEAL <= len(data) <= MOST:
+    if not min_size + SEAL <= len(data) <= MOST:
         raise Bad("size")
-    version, kind, tag, *rest = head.unpack_from(data)
+    version, kind, tag, *rest = header.unpack_from(data)
     if version != VERSION:
         raise Bad("version")
     if tag != seal.tag:
@@ -194,36 +201,36 @@
 
 
 def decode(data: bytes, seal: Seal) -> Message:
-    """Raises Bad for whatever is no message of this fleet."""
-    kind, birth, incarnation, seq, digest, flags, length = unseal(data, seal, HEAD, HEAD.size + 1)
+    """Check and decode a datagram. Raises Bad for what is no message of this fleet."""
+    kind, birth, incarnation, seq, digest, flags, length = unseal(data, seal, HEADER, HEADER.size + 1)
     try:
-        at = HEAD.size + length
+        at = HEADER.size + length
         if not 0 < length <= LONGEST_NAME or at > len(data) - SEAL:
-            raise ValueError("no name")
-        message = Message(Kind(kind), data[HEAD.size : at].decode(), birth, incarnation, seq, digest, flags)
-        _fields(message, data[at:-SEAL])
+            raise ValueError("missing or truncated name")
+        message = Message(Kind(kind), data[HEADER.size : at].decode(), birth, incarnation, seq, digest, flags)
+        _unpack_fields(message, data[at:-SEAL])
     except (ValueError, struct.error):
         raise Bad("form") from None
     return message
 
 
-def _fields(message: Message, rest: bytes) -> None:
+def _unpack_fields(message: Message, rest: bytes) -> None:
     at = 0
     while at + 2 <= len(rest):
         kind, length = rest[at], rest[at + 1]
         value = rest[at + 2 : at + 2 + length]
         if len(value) < length:
-            raise ValueError("a field is cut off")
+            raise ValueError("truncated field")
         at += 2 + length
-        if kind == ASK:
+        if kind == FIELD_ASK:
             message.ask = struct.unpack_from(">I", value)[0]
-        elif kind == ECHO:
+        elif kind == FIELD_ECHO:
             message.echo = struct.unpack_from(">I", value)[0]
-        elif kind == TARGET:
+        elif kind == FIELD_TARGET:
             message.target = value.decode()
-        elif kind == OF:
+        elif kind == FIELD_PROOF:
             message.proof = PROOF.unpack_from(value)
-        elif kind == SUMS:
+        elif kind == FIELD_SUMS:
             message.sums = struct.unpack_from(f">{BUCKETS}I", value)
-        elif kind == MEMBER:
+        elif kind == FIELD_ENTRY:
             message.entries.append(_unpack_entry(value))
--- a/tests/view/test_defects.py
+++ b/tests/view/test_defects.py
@@ -1,4 +1,4 @@
-"""Each seeded defect of the view is found: by the seed of a drawn day, or by the named test."""
+"""Each seeded defect of the view is detected: by a random schedule of a given seed, or by a named test."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 SEEDS = {
     "incarnation not raised against an accusation": 1,
-    "strangers are believed without a question": 4,
+    "unverified senders are believed": 4,
     "at_most lowered at suspicion": 1,
     "given up before the lease is over": 4,
-    "who stood still trusts what it believed": 1,
+    "beliefs from before a stall are trusted": 1,
     "budget ignored": 1,
-    "suspicion without time to contradict": 0,
+    "suspicion without time to refute": 0,
 }
 TESTS: dict[str, Callable[[], None]] = {
     "given up without a majority": (
-        test_view.test_seven_in_ten_killed_at_once_are_not_counted_out_by_the_three
+        test_view.test_minority_of_three_does_not_lower_at_most_when_seven_of_ten_die
     ),
-    "datagrams that are played again count": (
-        test_view.test_what_is_played_again_does_nothing_not_even_to_who_starts_anew
+    "replayed datagrams count": (
+        test_view.test_replayed_datagrams_have_no_effect_even_on_a_restarted_process
     ),
-    "who stood still does not notice": test_view.test_a_nap_is_no_silence_of_the_others,
-    "who hears no answers accuses": partial(
-        test_view.test_one_that_hears_all_and_is_heard_by_none_and_the_other_way_round, False
+    "a stall is not noticed": test_view.test_suspicion_does_not_run_out_during_a_short_stall,
+    "a process without answers suspects others": partial(
+        test_view.test_process_that_only_receives_or_only_sends_suspects_nobody, False
     ),
 }
 
--- a/tests/view/test_view.py
+++ b/tests/view/test_view.py
@@ -1,4 +1,4 @@
-"""The view on a virtual clock: what each fault does to it, what it must not do, and that it settles again."""
+"""The view on a virtual clock: the effect of each fault, and that the fleet settles again after it."""
 
 from __future__ import annotations
 
@@ -10,143 +10,154 @@
 from dykeshift.view.core import Event
 from dykeshift.view.table import WORD
 from dykeshift.view.wire import Kind, Message, Seal, State, decode, encode
-from tests.view.world import BRIEF, Watch, befall, campaign, entry_of, settle, started, states
-
-
-def heard(world: World) -> list[tuple[str, Event]]:
-    """What all processes tell their consumers from now on."""
+from tests.view.world import (
+    SHORT_LEASE,
+    InvariantChecker,
+    apply_fault,
+    campaign,
+    entry_of,
+    wait_until_settled,
+    settled_world,
+    states,
+)
+
+
+def record_events(world: World) -> list[tuple[str, Event]]:
+    """Record the events of all processes from now on."""
     events = list[tuple[str, Event]]()
     world.heard = lambda spot, event: events.append((spot.name, event))
     return events
 
 
-def assert_kept(watch: Watch) -> None:
-    assert watch.broken == []
+def assert_invariants(checker: InvariantChecker) -> None:
+    assert checker.violations == []
 
 
-def test_seven_in_ten_killed_at_once_are_not_counted_out_by_the_three() -> None:
-    world, watch = started("seven", 10)
+def test_minority_of_three_does_not_lower_at_most_when_seven_of_ten_die() -> None:
+    world, checker = settled_world("seven", 10)
     for spot in world.spots[3:]:
         spot.kill()
-    settle(world)
-    world.run(90)  # longer than any lease: three of ten can't know that the seven do not go on elsewhere
+    wait_until_settled(world)
+    world.run(
+        90
+    )  # longer than any lease; three of ten can't know that the other seven do not go on elsewhere
     for spot in world.spots[:3]:
         assert (spot.view.standing.at_least, spot.view.standing.at_most) == (3, 10)
         assert not spot.view.standing.holds
     for spot in world.spots[3:]:
         world.start(spot)
-    settle(world)
+    wait_until_settled(world)
     assert all(s.view.standing.at_most == 10 for s in world.spots)
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
-def test_the_few_that_are_lost_are_counted_out_after_a_lease_and_not_before() -> None:
-    world, watch = started("few", 7)
+def test_dead_minority_lowers_at_most_after_a_lease_and_not_before() -> None:
+    world, checker = settled_world("few", 7)
     gone = world.spots[5:]
     for spot in gone:
         spot.kill()
-    world.run(BRIEF.lease / SECOND * 0.95)
+    world.run(SHORT_LEASE.lease / SECOND * 0.95)
     assert {s.view.standing.at_most for s in world.living()} == {7}
     assert {s.view.standing.at_least for s in world.living()} == {5}
     assert world.run(60, lambda: {s.view.standing.at_most for s in world.living()} == {5})
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
-def test_cut_in_half_and_whole_again_with_opposite_views() -> None:
-    world, watch = started("halves", 10)
+def test_partition_in_halves_heals_from_opposite_views() -> None:
+    world, checker = settled_world("halves", 10)
     world.groups = [frozenset(range(5)), frozenset(range(5, 10))]
-    settle(world)
+    wait_until_settled(world)
     world.run(20)
     assert {(s.view.standing.at_least, s.view.standing.at_most) for s in world.spots} == {(5, 10)}
     assert states(world.spots[0])["n7"] is State.UNREACHABLE
     assert states(world.spots[7])["n0"] is State.UNREACHABLE
     world.groups = []
-    settle(world)
-    assert_kept(watch)
+    wait_until_settled(world)
+    assert_invariants(checker)
 
 
-def test_three_groups_joined_in_two_steps() -> None:
-    world, watch = started("three", 9)
+def test_three_way_partition_heals_in_two_steps() -> None:
+    world, checker = settled_world("three", 9)
     world.groups = [frozenset((0, 1, 2)), frozenset((3, 4, 5)), frozenset((6, 7, 8))]
-    settle(world)
+    wait_until_settled(world)
     world.groups = [frozenset(range(6)), frozenset((6, 7, 8))]
-    settle(world)
+    wait_until_settled(world)
     assert {s.view.standing.at_least for s in world.spots[:6]} == {6}
     world.groups = []
-    settle(world)
-    assert_kept(watch)
+    wait_until_settled(world)
+    assert_invariants(checker)
 
 
-def test_who_stood_still_accuses_nobody_and_holds_nothing_until_it_has_asked() -> None:
-    world, watch = started("still", 6)
-    sleeper = world.spots[0]
-    world.stop(sleeper)
+def test_stalled_process_suspects_nobody_and_holds_no_lease_until_it_is_answered() -> None:
+    world, checker = settled_world("still", 6)
+    stalled = world.spots[0]
+    world.stop(stalled)
     world.run(90)
     assert {s.view.standing.at_most for s in world.spots[1:]} == {5}
-    events, sent = heard(world), list[Message]()
-    world.tap = lambda a, b, data: sent.append(decode(data, world.seal)) if a is sleeper else None
-    world.groups = [frozenset((0,)), frozenset(range(1, 6))]  # it awakes to find nobody
-    world.resume(sleeper)
+    events, sent = record_events(world), list[Message]()
+    world.tap = lambda a, b, data: sent.append(decode(data, world.seal)) if a is stalled else None
+    world.groups = [frozenset((0,)), frozenset(range(1, 6))]  # after the stall it reaches nobody
+    world.resume(stalled)
     world.run(3)
-    assert not sleeper.view.standing.holds and sleeper.view.standing.at_least == 1
-    accusations = [e for m in sent for e in m.entries if e.state is not State.ALIVE and e.name != "n0"]
-    assert accusations == []
+    assert not stalled.view.standing.holds and stalled.view.standing.at_least == 1
+    suspicions = [e for m in sent for e in m.entries if e.state is not State.ALIVE and e.name != "n0"]
+    assert suspicions == []
     world.groups = []
-    settle(world)
+    wait_until_settled(world)
     assert "n0" in {e.name for _, e in events if e.kind == "state"}
     assert {e.name for _, e in events if e.state is State.UNREACHABLE} <= {"n0"}
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
-def test_a_nap_is_no_silence_of_the_others() -> None:
-    """A suspicion ran out while it stood still, and the contradiction lies unread."""
-    world, _ = started("nap", 5)
+def test_suspicion_does_not_run_out_during_a_short_stall() -> None:
+    """The suspicion timeout ends during the stall, while a refutation is still unread."""
+    world, _ = settled_world("nap", 5)
     spot = world.spots[0]
     member = spot.view.table.get("n1")
-    spot.view._believe(spot.clock(), member, State.SUSPECT)
+    spot.view._set_state(spot.clock(), member, State.SUSPECT)
     member.suspect_until = spot.clock() + SECOND // 2
     world.stop(spot)
     world.run(1.3)
     spot.stopped = False
     spot.view.on_timer(spot.clock())
-    for _ in range(2):  # all of a period
+    for _ in range(2):  # the rest of a period
         spot.view.on_timer(spot.view.next_at)
     assert member.state is State.SUSPECT
-    settle(world)
+    wait_until_settled(world)
 
 
 @pytest.mark.parametrize("wall", [0, -3_600_000, 3_600_000])
-def test_a_start_within_one_period_takes_the_name_over_whatever_the_wall_clock_says(wall: int) -> None:
-    world, watch = started(f"restart{wall}", 5)
-    events, spot = heard(world), world.spots[2]
+def test_restart_within_one_period_takes_over_the_name_with_any_wall_clock(wall: int) -> None:
+    world, checker = settled_world(f"restart{wall}", 5)
+    events, spot = record_events(world), world.spots[2]
     before = entry_of(spot).birth
     spot.kill()
     spot.wall = wall
     world.start(spot)
-    settle(world)
+    wait_until_settled(world)
     assert all(s.view.table.get("n2").entry.birth != before for s in world.spots if s is not spot)
     assert {s.view.standing.at_most for s in world.spots} == {5}
     assert not [e for _, e in events if e.kind == "twin"]
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
-def test_restarted_a_tenth_at_a_time_while_a_zone_is_cut_off() -> None:
-    world, watch = started("roll", 40)
+def test_rolling_restart_while_a_zone_is_partitioned() -> None:
+    world, checker = settled_world("roll", 40)
     world.groups = [frozenset(range(12)), frozenset(range(12, 40))]
     for tenth in range(10):
         for spot in world.spots[4 * tenth : 4 * tenth + 4]:
-            befall(world, "leave", spot, world.rng)
+            apply_fault(world, "leave", spot, world.rng)
             world.after(0.5, world.start, spot)
         world.run(2)
     world.groups = []
-    settle(world, 90)
+    wait_until_settled(world, 90)
     assert {s.view.standing.at_most for s in world.spots} == {40}
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
 @pytest.mark.parametrize("hears", [True, False])
-def test_one_that_hears_all_and_is_heard_by_none_and_the_other_way_round(hears: bool) -> None:
-    world, watch = started(f"deaf{hears}", 6)
+def test_process_that_only_receives_or_only_sends_suspects_nobody(hears: bool) -> None:
+    world, checker = settled_world(f"deaf{hears}", 6)
     world.blocked = {((0, n) if hears else (n, 0)) for n in range(1, 6)}
     sent = list[Message]()
     world.tap = lambda a, b, data: sent.append(decode(data, world.seal)) if a.number == 0 else None
@@ -156,32 +167,32 @@
     others = world.spots[1:]
     assert {states(s)[f"n{n}"] for s in others for n in range(1, 6) if s.number != n} == {State.ALIVE}
     world.blocked = set()
-    settle(world)
-    assert_kept(watch)
+    wait_until_settled(world)
+    assert_invariants(checker)
 
 
-def test_one_way_between_two_removes_nobody() -> None:
-    world, watch = started("one way", 6)
-    events = heard(world)
+def test_one_way_link_between_two_members_removes_nobody() -> None:
+    world, checker = settled_world("one way", 6)
+    events = record_events(world)
     world.blocked = {(0, 1)}
     world.run(60)
     assert not [e for _, e in events if e.state is State.UNREACHABLE]
     assert world.settled()
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
-def test_thirty_in_a_hundred_lost_doubled_and_late_does_not_flap() -> None:
-    world, watch = started("weather", 12)
+def test_loss_duplication_and_delay_cause_no_flapping() -> None:
+    world, checker = settled_world("weather", 12)
     world.weather.loss, world.weather.double, world.weather.late = 0.3, 0.2, 0.1
-    events = heard(world)
+    events = record_events(world)
     world.run(100)
     removed = [e for _, e in events if e.kind in ("gone", "state") and e.state >= State.UNREACHABLE]
     assert removed == []
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
-def test_strangers_and_those_with_another_key_change_nothing() -> None:
-    world, watch = started("strangers", 5)
+def test_datagrams_of_another_fleet_or_key_change_nothing() -> None:
+    world, checker = settled_world("strangers", 5)
     digests, spot = {s.view.digest(s.clock()) for s in world.spots}, world.spots[0]
     me = entry_of(world.spots[1])
     for seal in (Seal("another"), Seal("world", b"key")):
@@ -190,11 +201,11 @@
     world.run(5)
     assert {s.view.digest(s.clock()) for s in world.spots} == digests
     assert spot.view.dropped["fleet"] == 1 and spot.view.dropped["seal"] == 1
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
-def test_a_key_known_by_half_makes_two_fleets_that_do_not_count_each_other_out() -> None:
-    world = World("halfkey", 8, BRIEF)
+def test_key_known_to_half_makes_two_fleets_that_do_not_give_each_other_up() -> None:
+    world = World("halfkey", 8, SHORT_LEASE)
     keyed = Seal("world", b"key")
 
     def make(spot: Spot, life: int) -> object:
@@ -202,43 +213,43 @@
         return world._view(spot, life)
 
     world.make = make
-    watch = Watch(world)
+    checker = InvariantChecker(world)
     world.start_all()
     world.run(120)
     assert {(s.view.standing.at_least, s.view.standing.at_most) for s in world.spots} == {(4, 8)}
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
-def test_what_is_played_again_does_nothing_not_even_to_who_starts_anew() -> None:
-    world, watch = started("replay", 5)
-    old = list[tuple[Spot, Spot, bytes]]()
-    world.tap = lambda a, b, data: old.append((a, b, data))
+def test_replayed_datagrams_have_no_effect_even_on_a_restarted_process() -> None:
+    world, checker = settled_world("replay", 5)
+    recorded = list[tuple[Spot, Spot, bytes]]()
+    world.tap = lambda a, b, data: recorded.append((a, b, data))
     world.run(10)
     world.tap = lambda a, b, data: None
     world.spots[4].kill()
-    for _ in range(60):  # n4 is counted out, though its words go on coming
+    for _ in range(60):  # n4 is given up although its old datagrams keep arriving
         world.run(1)
-        for a, b, data in old:
+        for a, b, data in recorded:
             if a.number == 4 and b.alive:
                 world.deliver(a.address, b, data)
     assert {s.view.standing.at_most for s in world.living()} == {4}
     world.spots[0].kill()
     world.start(world.spots[0])
-    settle(world)
-    world.run(40)  # n0 has given up n4's address, too
+    wait_until_settled(world)
+    world.run(40)  # n0 has given up the address of n4, too
     digests = {s.view.digest(s.clock()) for s in world.living()}
-    for a, b, data in old:
+    for a, b, data in recorded:
         if b.alive:
             world.deliver(a.address, b, data)
     world.run(1)
     assert {s.view.digest(s.clock()) for s in world.living()} == digests
     assert {s.view.standing.at_most for s in world.living()} == {4}
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
-def test_two_processes_under_one_name_are_said_by_both_once_and_counted_once() -> None:
-    world = World("twin", 6, BRIEF)
-    make, events = world.make, heard(world)
+def test_two_processes_of_one_name_are_reported_once_by_both_and_counted_once() -> None:
+    world = World("twin", 6, SHORT_LEASE)
+    make, events = world.make, record_events(world)
 
     def twin(spot: Spot, life: int) -> object:
         view = make(spot, life)
@@ -249,25 +260,25 @@
     world.make = twin
     world.start_all()
     world.run(60)
-    said = [name for name, e in events if e.kind == "twin"]
-    assert sorted(said) == ["n1", "n5"]
+    reporters = [name for name, e in events if e.kind == "twin"]
+    assert sorted(reporters) == ["n1", "n5"]
     assert {s.view.standing.at_least for s in world.spots if not s.view.yielded} == {5}
 
 
-def test_a_leave_is_believed_at_once_and_a_new_life_after_it() -> None:
-    world, watch = started("leave", 8)
-    for spot in world.spots[:6]:  # more than a majority, one after the other: each says so
+def test_leave_takes_effect_at_once_and_so_does_a_restart_after_it() -> None:
+    world, checker = settled_world("leave", 8)
+    for spot in world.spots[:6]:  # more than a majority, one after the other, each with a leave
         world.leave(spot)
         world.run(2)
     assert world.run(2, lambda: {s.view.standing.at_most for s in world.living()} == {2})
     for spot in world.spots[:6]:
         world.start(spot)
-    settle(world)
-    assert_kept(watch)
+    wait_until_settled(world)
+    assert_invariants(checker)
 
 
-def test_lists_of_peers_that_differ_in_order_and_length() -> None:
-    world = World("lists", 7, BRIEF)
+def test_peer_lists_that_differ_in_order_and_length() -> None:
+    world = World("lists", 7, SHORT_LEASE)
 
     def make(spot: Spot, life: int) -> object:
         view = World._view(world, spot, life)
@@ -278,29 +289,29 @@
         return view
 
     world.make = make
-    watch = Watch(world)
+    checker = InvariantChecker(world)
     world.start_all()
-    settle(world)
+    wait_until_settled(world)
     assert {s.view.standing.at_least for s in world.spots} == {7}
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
 def test_new_settings_are_seen_by_all() -> None:
-    world, watch = started("settings", 5)
+    world, checker = settled_world("settings", 5)
     spot = world.spots[3]
-    world._carry(spot, spot.view.on_facts(spot.clock(), 99))
-    settle(world)
+    world._carry(spot, spot.view.on_settings(spot.clock(), 99))
+    wait_until_settled(world)
     assert {s.view.table.get("n3").entry.settings for s in world.spots if s is not spot} == {99}
-    assert_kept(watch)
+    assert_invariants(checker)
 
 
-def test_who_died_before_anybody_left_had_met_it_is_not_alive_for_ever() -> None:
-    world, watch = started("ghost", 5)
-    for spot in world.spots[:4]:  # as if only the one that is lost, too, had met it
+def test_member_that_died_before_any_survivor_met_it_becomes_unreachable() -> None:
+    world, checker = settled_world("ghost", 5)
+    for spot in world.spots[:4]:  # as if only a process that is lost as well had met it
         world.spots[4].kill()
-        spot.view.table.house(spot.view.table.get("n4"), None)
+        spot.view.table.set_address(spot.view.table.get("n4"), None)
         spot.view.peers = spot.view.bounds.peers = world.peers[:4]
-    settle(world)
+    wait_until_settled(world)
     assert {states(s)["n4"] for s in world.living()} == {State.UNREACHABLE}
 
 
--- a/tests/view/test_wire.py
+++ b/tests/view/test_wire.py
@@ -1,4 +1,4 @@
-"""Any bytes end in a message or in Bad; what is written is read; what is newer is passed over."""
+"""Any bytes decode to a message or raise Bad; encoding round-trips; unknown fields are skipped."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dykeshift.view.wire import BUCKETS, HEAD, MOST, REASONS, SEAL, Bad, Entry, Kind, Message
+from dykeshift.view.wire import BUCKETS, HEADER, MOST, REASONS, SEAL, Bad, Entry, Kind, Message
 from dykeshift.view.wire import Seal, State, decode, encode
 
 OURS = Seal("fleet", b"key")
@@ -82,13 +82,13 @@
         decode(data, Seal("fleet", b"another key"))
 
 
-def test_fields_of_a_later_program_are_passed_over() -> None:
+def test_fields_of_a_later_version_are_skipped() -> None:
     data = encode(Message(Kind.ACK, "n1", 1, 2, 3, 4, echo=7, entries=[Entry("n2", 5, 6)]), OURS)[:-SEAL]
-    at = HEAD.size + 2
+    at = HEADER.size + 2
     longer = bytearray(data)
     entry = longer.index(b"n2") + 2
     longer[entry:entry] = b"more"
-    longer[longer.index(bytes((4,)), at + 6) + 1] += 4  # the entry's field has grown
+    longer[longer.index(bytes((4,)), at + 6) + 1] += 4  # the new length of the entry's field
     body = bytes(longer[:at]) + b"\xee\x03new" + bytes(longer[at:])
     read = decode(body + OURS.of(body), OURS)
     assert read.echo == 7 and read.entries == [Entry("n2", 5, 6)]
