--- a/dykeshift/view/core.py
+++ b/dykeshift/view/core.py
@@ -4,7 +4,8 @@
 0.6 of the period it probes again, and at 0.3 also asks others for indirect probes. A member without proof
 of life in two periods in a row (three if the process's own probes often fail) becomes *suspect*, which is
 gossiped. A process that hears that it is suspected refutes that by raising its incarnation. A suspicion
-that stands for `suspicion` makes the member *unreachable* for all; bounds.py says when it is given up.
+that stands for `suspicion_timeout` makes the member *unreachable* for all; bounds.py says when it is given
+up.
 
 Invariants that hold at every instant:
  1. Only datagrams with the fleet's seal count, and only from a process that has answered a fresh random
@@ -30,9 +31,8 @@
 from dykeshift.view.wire import Kind, Message, Seal, State, decode, encode, entry_space, pack_entry
 
 PHASES = (0.0, 0.3, 0.6)  # fractions of a period at which a member is probed: once, and two retries
-PROBE_FANOUT = (
-    3  # members asked for an indirect probe, probed after a stall, or probed out of turn per period
-)
+# Members asked for an indirect probe, probed after a stall, or probed again after a failed period.
+PROBE_FANOUT = 3
 SUSPECT_AFTER = 2  # periods in a row without proof of life before a member is suspected
 RECENT_PROBES = 8  # latest probes that show how well this process itself is connected
 LEASE_AFTER = 2.0  # suspicion timeouts for which it needs a majority before it holds the lease
@@ -41,9 +41,7 @@
 SUSPECT_CONTACT_TIMEOUT = 1.5  # periods without any answer, after which it may be cut off and suspects nobody
 CONTROL_PROBES = 2  # members heard last that are probed beside a silent one, to tell which side is cut off
 STALL = 1.5  # periods by which a timer may be late before the process counts as having stalled
-ANNOUNCE_PERIODS = (
-    6  # in which each datagram carries a new entry of this process; one more per doubling of the members
-)
+ANNOUNCE_PERIODS = 6  # in which each datagram has the new own entry; plus one per doubling of the members
 SETTLED_AFTER = 3.0  # periods without a change before the view counts as settled
 SETTLED_MATCHES = 3  # members in a row with the same digest that this takes
 GOSSIP_FANOUT = 6  # datagrams of gossip per period beyond probes and answers, while updates are queued
@@ -123,7 +121,7 @@
         self.out: Out = []
         self.events: list[Event] = []
         self.periods = self.phase = 0
-        self.woken = self.woken_at = 0  # how often this process stalled, and the period of the last time
+        self.stall_count = self.last_stall_period = 0  # the period in which it last stalled
         self.next_at = 0  # when on_timer is due
         self.pending: dict[int, PendingProbe] = {}
         self.probe_order: list[str] = []  # members still to be probed in this round
@@ -317,7 +315,7 @@
         """Detect that this process has stalled; a suspicion does not run out during a stall."""
         if now - self.next_at > STALL * self.options.period:
             self.events.append(Event("woken"))
-            self.woken, self.woken_at = self.woken + 1, self.periods
+            self.stall_count, self.last_stall_period = self.stall_count + 1, self.periods
             gap, self.next_at, self.phase = now - self.next_at, now, 0
             for member in self.table:
                 member.suspect_until += gap
@@ -341,9 +339,9 @@
 
     def _isolated(self, now: int) -> bool:
         """Whether nobody has answered for so long that this process takes itself for cut off from all."""
-        return now - max(self.answered_at, self.contact_reset_at) > self.suspicion()
+        return now - max(self.answered_at, self.contact_reset_at) > self.suspicion_timeout()
 
-    def suspicion(self) -> int:
+    def suspicion_timeout(self) -> int:
         """The suspicion timeout, within which a member can refute, in nanoseconds."""
         scale = max(1.0, math.log10(len(self.table.members) + 1))
         return int(SUSPICION_PERIODS * scale * self.options.period)
@@ -450,7 +448,7 @@
         if spread:
             self.news.add(entry)
         if entry.state is State.SUSPECT:
-            member.suspect_until = now + self.suspicion()
+            member.suspect_until = now + self.suspicion_timeout()
         if (
             entry.state in (State.SUSPECT, State.UNREACHABLE)
             and member.address is not None
@@ -558,7 +556,7 @@
             self._merge(now, replace(entry, incarnation=message.incarnation, state=State.ALIVE))
             known = self.table.get(message.name)
             if known is None or known.entry.birth != message.birth:
-                return None  # its entry does not take precedence: it has to hear of that first
+                return None  # the sender has to learn first of the entry that takes precedence
         known.verify(message.birth, message.incarnation, message.seq)
         known.accept(message.incarnation, message.seq)
         known.last_heard = max(known.last_heard, probe.sent_at)
@@ -676,7 +674,7 @@
 
     def _emit_changes(self, now: int) -> None:
         """Update the bounds and the settled flag; emit an event for each that has changed."""
-        self.bounds.quorum_delay = int(LEASE_AFTER * self.suspicion())
+        self.bounds.quorum_delay = int(LEASE_AFTER * self.suspicion_timeout())
         alone = self.bounds.places(self.table) == 1  # no other can be at work, so no answer is needed
         in_contact = not self.yielded and (alone or self._answered_recently(now))
         standing = self.bounds.evaluate(now, self.table, in_contact, self._count_alive(now))
@@ -758,8 +756,8 @@
             "twin": self.yielded or any(n >= TWIN_REPORTS for n in self.twin_reports.values()),
             "digest": self.digest(now),
             "periods": self.periods,
-            "woken": self.woken,
-            "woken_at": self.woken_at,
+            "woken": self.stall_count,
+            "woken_at": self.last_stall_period,
             "members": rows,
             "sent": {"datagrams": self.budget.sent[0], "bytes": self.budget.sent[1]},
             "dropped": dict(sorted(self.dropped.items())),
--- a/dykeshift/view/table.py
+++ b/dykeshift/view/table.py
@@ -19,7 +19,7 @@
 
 WORD = 16  # low bits of an incarnation that count the refutations of a process
 WINDOW = 128  # size of the anti-replay window per sender, in datagrams: several seconds of its budget
-MOST_MEMBERS = 4096  # members kept in the table; unknown names beyond that are dropped
+MAX_MEMBERS = 4096  # members kept in the table; unknown names beyond that are dropped
 
 
 def life(incarnation: int) -> int:
@@ -137,7 +137,7 @@
         known = self.members.get(entry.name)
         new = mark(entry)
         if known is None:
-            if len(self.members) >= MOST_MEMBERS:
+            if len(self.members) >= MAX_MEMBERS:
                 return None
             known = self.members[entry.name] = Member(entry, now, bucket(entry.name), 0)
             self._count(entry.state, 1)
--- a/tests/view/defects.py
+++ b/tests/view/defects.py
@@ -66,7 +66,7 @@
     "a stall is not noticed": patched(View, "_notice_stall", _ignore_stall),
     "beliefs from before a stall are trusted": patched(View, "_reset_contact", _keep_contact_after_stall),
     "budget ignored": patched(news.Budget, "allows", _allow_all),
-    "suspicion without time to refute": patched(View, "suspicion", _no_suspicion_timeout),
+    "suspicion without time to refute": patched(View, "suspicion_timeout", _no_suspicion_timeout),
     "a process without answers suspects others": lambda patch: patch.setattr(
         core, "SUSPECT_CONTACT_TIMEOUT", 1e9
     ),
