--- a/dykeshift/view/bounds.py
+++ b/dykeshift/view/bounds.py
@@ -93,8 +93,8 @@
     def evaluate(self, now: int, table: Table, in_contact: bool, others_alive: int) -> Standing:
         """Update the lease and return the bounds.
 
-        `in_contact`: this process has had an answer lately, since it last stalled. `others_alive`: other
-        members that it knows to be at work.
+        `in_contact`: this process has had an answer lately, since it last stalled, or needs none as no other
+        place exists. `others_alive`: other members that it knows to be at work.
         """
         at_most = self.places(table)
         if not in_contact or 2 * (1 + others_alive) <= at_most:
@@ -115,7 +115,7 @@
         return sum(m.state >= State.DEAD for m in table) + len(self.given_up_addresses)
 
     def overdue_members(self, now: int, table: Table) -> Iterable[Member]:
-        """Members silent for a whole lease that this process held. Gives up silent addresses itself."""
+        """Members silent for a whole lease that this process held. Also gives up silent addresses."""
         if self.held_since is None or now - self.held_since < self.lease_timeout:
             return ()
         if now - self.started_at >= self.lease_timeout:
