--- a/dykeshift/engine/__init__.py
+++ b/dykeshift/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on sockets, whoever hosts it: driver, pool, discovery, the HTTP front and carrier."""
+"""The balancer's network side: driver, upstream pool, discovery, HTTP frontend and HTTP carrier."""
--- a/dykeshift/engine/arrivals.py
+++ b/dykeshift/engine/arrivals.py
@@ -1,4 +1,4 @@
-"""When what is being read arrived: it may have waited in the kernel while this process stood still."""
+"""Arrival times of input, which may have waited in the kernel while this process was stalled."""
 
 from __future__ import annotations
 
@@ -6,41 +6,42 @@
 
 from dykeshift.clock import Clock
 
-STANDSTILL = 0.02  # seconds in which this process did nothing it knows of: bytes may have waited
-AFTERMATH = 0.05  # seconds after such a time in which what is read may have waited all the same
+STALL_THRESHOLD = 0.02  # seconds without any read after which the process may have been stalled
+LOOK_BACK_WINDOW = 0.05  # seconds after a stall in which input read may still have arrived during it
 
 
 class Arrivals:
-    """For all connections of one front."""
+    """Arrival times for all connections of one frontend."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
         self.loop, self.clock = loop, clock
-        self.awake = loop.time()  # the latest round of the loop in which a client was heard
-        self.look_back = 0.0  # until then, what is read may have waited
-        self.ticked = self.ticked_before = self.awake
+        self.last_read = loop.time()  # the latest iteration of the event loop in which input was read
+        self.look_back_until = 0.0  # input read before this time may have waited in the kernel
+        self.last_tick = self.previous_tick = self.last_read
 
     def tick(self) -> None:
-        """Called every so often, by a timer: between two ticks that came in time nothing waited for long."""
-        self.ticked_before, self.ticked = self.ticked, self.loop.time()
+        """Called periodically by a timer: between two ticks that are on time, no input waited for long."""
+        self.previous_tick, self.last_tick = self.last_tick, self.loop.time()
 
     def of(self, transport: asyncio.BaseTransport, several: bool = False) -> int:
-        """On the monotonic clock. `several`: what is read is more than one message.
+        """Arrival time of the input now being read, in ns of the monotonic clock.
 
-        The kernel tells when the last bytes came. Of several messages the first may have come as early as the
-        tick before, and counts so: rather early than late.
+        `several`: the input holds more than one message. The kernel only reports when the last bytes
+        arrived. The first message may have arrived as early as the previous tick, and that is returned:
+        an estimate that is too early is safer than one that is too late.
 
-        Protects a client's time when this process stood still, as a whole or in one long round: its
-        request waited in the kernel meanwhile, and would get its answer that much after its time.
+        Protects clients' deadlines when this process was stalled, as a whole or in one long iteration of
+        the event loop: a request that waited in the kernel would be answered too late by that time.
         """
-        here = self.loop.time()
-        if here - self.awake > STANDSTILL:
-            self.look_back = here + AFTERMATH
-        self.awake = here
-        # The loop's time is from before the other events of this round, nearer to the arrival.
-        now = min(self.clock.monotonic_ns(), int(here * 1e9))
-        if here >= self.look_back:
+        loop_now = self.loop.time()
+        if loop_now - self.last_read > STALL_THRESHOLD:
+            self.look_back_until = loop_now + LOOK_BACK_WINDOW
+        self.last_read = loop_now
+        # The loop's time was taken before the other events of this iteration: closer to the arrival.
+        now = min(self.clock.monotonic_ns(), int(loop_now * 1e9))
+        if loop_now >= self.look_back_until:
             return now
         if not several:
             return now - self.clock.input_age(transport)
-        tick = self.ticked if here - self.ticked > AFTERMATH else self.ticked_before
+        tick = self.last_tick if loop_now - self.last_tick > LOOK_BACK_WINDOW else self.previous_tick
         return min(now, int(max(tick, 0.0) * 1e9))
--- a/dykeshift/engine/bodies.py
+++ b/dykeshift/engine/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies too long to wait for: an answer's that goes on as it comes, a request's that is still coming."""
+"""Streaming of long bodies: answers on their way to clients, and requests on their way to upstreams."""
 
 from __future__ import annotations
 
@@ -9,90 +9,95 @@
 
 
 class Sink(Protocol):
-    """Where a long answer goes: pieces, then one of the two ends."""
+    """Receives a streamed answer: pieces of its body, then either `end` or `cut`."""
 
-    def piece(self, data: bytes) -> None: ...
+    def write_piece(self, data: bytes) -> None:
+        """Write a piece of the body."""
 
     def end(self) -> None:
-        """It is whole."""
+        """The body is complete."""
 
     def cut(self) -> None:
-        """The rest will not come; nobody may take it for whole."""
+        """The body is truncated, and must not be taken for complete."""
 
 
-class Rest(Protocol):
-    """What of a long answer is still to come, at whoever brings it."""
+class BodyStream(Protocol):
+    """The source of the rest of a streamed answer."""
 
-    def flow_to(self, sink: Sink) -> None: ...
+    def stream_to(self, sink: Sink) -> None:
+        """Pass the rest of the body to `sink` from now on."""
 
     def hold(self, wait: bool) -> None:
-        """Whether to wait with further pieces: the far side is full."""
+        """Back-pressure: pause reading if `wait`, else resume."""
 
 
-class Source(Protocol):
-    """Who sends a long request."""
+class UploadSource(Protocol):
+    """The client connection that a streamed request is received on."""
 
-    def hold(self, wait: bool) -> None: ...
+    def hold(self, wait: bool) -> None:
+        """Back-pressure: pause reading if `wait`, else resume."""
 
 
-class Taker(Protocol):
-    """The connection to an upstream that a long request goes out on."""
+class UploadTarget(Protocol):
+    """The connection to an upstream that a streamed request is sent on."""
 
     def more(self, data: Bytes) -> bool:
-        """It takes the data over; says whether it wants more at once."""
+        """Write data, taking ownership of it; returns whether more may be written at once."""
 
-    def last(self) -> None: ...
+    def last(self) -> None:
+        """The body is complete."""
 
 
 class Upload:
-    """A request's body that goes on to an upstream while it comes. What has gone is let go."""
+    """A request body that is forwarded to an upstream while it is received. What was sent is not kept."""
 
-    def __init__(self, first: bytearray, length: int | None, source: Source) -> None:
-        """`first` is taken over. `length`: bytes in all; None: not told, so it goes out in chunks."""
-        self.waiting, self.length, self.source = first, length, source
-        self.whole = False
-        self.taker: Taker | None = None
+    def __init__(self, first: bytearray, length: int | None, source: UploadSource) -> None:
+        """`first`: the beginning, not copied. `length`: of the whole body; None: unknown, sent in chunks."""
+        self.buffered, self.length, self.source = first, length, source
+        self.complete = False
+        self.target: UploadTarget | None = None
 
     def __len__(self) -> int:
-        return len(self.waiting)
+        return len(self.buffered)
 
     def feed(self, data: Bytes) -> None:
-        if self.taker is None:
-            self.waiting += data
+        """Forward or buffer a piece of the body."""
+        if self.target is None:
+            self.buffered += data
         else:
-            self._pass(self.taker, data)
+            self._write(self.target, data)
 
     def finish(self) -> None:
-        """The last byte has come."""
-        self.whole = True
-        if self.taker is not None:
-            self._end(self.taker)
+        """The body has been received completely."""
+        self.complete = True
+        if self.target is not None:
+            self._write_end(self.target)
 
-    def _pass(self, taker: Taker, data: Bytes) -> bool:
+    def _write(self, target: UploadTarget, data: Bytes) -> bool:
         if self.length is not None or not data:
-            return taker.more(data)
-        taker.more(b"%x\r\n" % len(data))
-        taker.more(data)
-        return taker.more(b"\r\n")
+            return target.more(data)
+        target.more(b"%x\r\n" % len(data))
+        target.more(data)
+        return target.more(b"\r\n")
 
-    def _end(self, taker: Taker) -> None:
+    def _write_end(self, target: UploadTarget) -> None:
         if self.length is None:
-            taker.more(b"0\r\n\r\n")
-        taker.last()
-
-    def go(self, taker: Taker) -> None:
-        """What has come goes out there, and what comes follows; once only."""
-        self.taker = taker
-        waiting, self.waiting = self.waiting, bytearray()
-        if self._pass(taker, waiting):
+            target.more(b"0\r\n\r\n")
+        target.last()
+
+    def go(self, target: UploadTarget) -> None:
+        """Start sending to `target`: what is buffered, then what follows. Called once at most."""
+        self.target = target
+        buffered, self.buffered = self.buffered, bytearray()
+        if self._write(target, buffered):
             self.source.hold(False)
-        if self.whole:
-            self._end(taker)
+        if self.complete:
+            self._write_end(target)
 
 
 @dataclass(frozen=True, slots=True)
 class Long:
-    """A message whose body is no part of the same bytes: large, or not whole yet."""
+    """A message whose body is kept apart from its head: long, or still being received."""
 
     head: bytes
     body: Bytes = b""
@@ -104,14 +109,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What an upstream answered. `rest`: `body` is but its beginning."""
+    """An upstream's answer. If `rest` is set, `body` is only its beginning."""
 
     status: int
     headers: dict[bytes, bytes]
     body: Bytes
-    rest: Any = None  # a `Rest`
-    length: int | None = None  # of the whole body in bytes, where there is a rest and it was told
+    rest: Any = None  # a `BodyStream`
+    length: int | None = None  # of the whole body in bytes, if `rest` is set and the length is known
 
     @property
     def content_type(self) -> bytes:
+        """The media type."""
         return self.headers.get(b"content-type", b"application/octet-stream")
--- a/dykeshift/engine/budget.py
+++ b/dykeshift/engine/budget.py
@@ -1,34 +1,35 @@
-"""One bound on all bytes that are kept of long bodies, whoever keeps them. No sockets, no clock."""
+"""A common limit on the memory that buffers of long bodies take. No sockets, no clock."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-H = TypeVar("H")
+Holder = TypeVar("Holder")
 
 
-class Budget(Generic[H]):
-    """Holders say what they keep; who keeps most is let go of first."""
+class Budget(Generic[Holder]):
+    """Holders report the size of their buffers; over the limit, the largest is released first."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit  # bytes
-        self.held: dict[H, int] = {}
+        self.usage: dict[Holder, int] = {}
         self.total = 0
 
-    def keep(self, holder: H, size: int) -> None:
-        """From now on so many bytes; 0: none."""
-        self.total += size - self.held.get(holder, 0)
+    def set_usage(self, holder: Holder, size: int) -> None:
+        """Set the bytes that a holder buffers; 0 removes it."""
+        self.total += size - self.usage.get(holder, 0)
         if size:
-            self.held[holder] = size
+            self.usage[holder] = size
         else:
-            self.held.pop(holder, None)
+            self.usage.pop(holder, None)
 
     @property
-    def over(self) -> bool:
+    def exceeded(self) -> bool:
+        """Whether the buffers take more than the limit."""
         return self.total > self.limit
 
-    def largest(self, movable: Callable[[H], bool]) -> H | None:
-        """Of those that can let go of what they keep; the earliest of several."""
-        able = [holder for holder in self.held if movable(holder)]
-        return max(able, key=lambda holder: self.held[holder]) if able else None
+    def largest(self, can_release: Callable[[Holder], bool]) -> Holder | None:
+        """The holder of the largest buffer of those that can release it; among equals, the earliest."""
+        candidates = [holder for holder in self.usage if can_release(holder)]
+        return max(candidates, key=lambda holder: self.usage[holder]) if candidates else None
--- a/dykeshift/engine/connection.py
+++ b/dykeshift/engine/connection.py
@@ -1,4 +1,4 @@
-"""An outgoing HTTP/1.1 connection, to an upstream or to discovery."""
+"""An HTTP/1.1 client connection, to an upstream or to discovery."""
 
 from __future__ import annotations
 
@@ -10,24 +10,26 @@
 
 from dykeshift.clock import Clock
 from dykeshift.engine.bodies import Answer, Message, Sink
-from dykeshift.engine.http1 import MAX_BODY, MAX_LONG, Gatherer, Unacceptable
+from dykeshift.engine.http1 import MAX_BODY, MAX_STREAMED_BODY, Gatherer, Unacceptable
 from dykeshift.engine.link import Exchange, Link
 
-# An answer that does not tell its length is committed to when so much has come, or after so long: until then
-# it may turn out short, and could still be had from another upstream if it breaks.
-HOLDBACK = 0.05  # seconds from its head
-PLENTY = 16 * 1024  # bytes
+# An answer of unknown length is buffered until one of these limits is reached, and then streamed. Until then
+# it may turn out to be short, and if the connection breaks another upstream can still be tried.
+COMMIT_DELAY = 0.05  # seconds since its head
+COMMIT_SIZE = 16 * 1024  # bytes
 
 
 class Connection(Gatherer, Link):
+    """A connection that sends one request at a time and receives or streams its answer."""
+
     __slots__ = (
         *Link.SLOTS,
         "parser",
         "answer",
         "reusable",
         "streams",
-        "long",
-        "unframed",
+        "oversized",
+        "ends_at_close",
         "head_at",
         "sink",
     )
@@ -41,7 +43,7 @@
         max_body: int = MAX_BODY,
         streams: bool = False,
     ) -> None:
-        """`streams`: an answer over `max_body` goes on as it comes; else it is not acceptable."""
+        """`streams`: an answer longer than `max_body` is streamed; otherwise it is an error."""
         super().__init__(max_body)
         self.set_up(loop, clock, on_idle, on_lost)
         self.streams = streams
@@ -49,57 +51,61 @@
         self.reusable = True
         self.answer: Answer | None = None
         self.sink: Sink | None = None
-        self.long = self.unframed = False
+        self.oversized = self.ends_at_close = False
         self.head_at = 0.0
 
     def send(self, data: Message, exchange: Exchange) -> None:
-        self.answer, self.reusable, self.long, self.unframed = None, False, False, False
+        """Send a request."""
+        self.answer, self.reusable, self.oversized, self.ends_at_close = None, False, False, False
         super().send(data, exchange)
 
-    # ---- a long answer ----
+    # ---- streamed answers ----
 
-    def flow_to(self, sink: Sink) -> None:
+    def stream_to(self, sink: Sink) -> None:
+        """Pass the rest of the answer to `sink` from now on."""
         self.sink = sink
 
     def hold(self, wait: bool) -> None:
+        """Back-pressure: pause reading if `wait`, else resume."""
         if self.transport is not None and not self.transport.is_closing():
             (self.transport.pause_reading if wait else self.transport.resume_reading)()
 
-    def _pass_on(self) -> None:
-        """What has come of a long answer; the first of it commits to it."""
+    def _forward_body(self) -> None:
+        """Pass what has been received to the sink, or start streaming if the answer is to be streamed."""
         if self.sink is not None:
             if self.body:
-                self.sink.piece(self._taken())
-        elif self.exchange is not None and self._committed():
+                self.sink.write_piece(self._take_body())
+        elif self.exchange is not None and self._should_commit():
             assert self.parser is not None
             length = self.headers.get(b"content-length")
             self.exchange.began(
                 Answer(
                     self.parser.get_status_code(),
                     self.headers,
-                    self._taken(),
+                    self._take_body(),
                     self,
                     int(length) if length is not None else None,
                 )
             )
 
-    def _committed(self) -> bool:
+    def _should_commit(self) -> bool:
         if self.in_head or not self.streams:
             return False
-        return self.long or (
+        return self.oversized or (
             not self.headers.get(b"content-length")
             and self.size > 0
-            and (self.size >= PLENTY or self.loop.time() - self.head_at >= HOLDBACK)
+            and (self.size >= COMMIT_SIZE or self.loop.time() - self.head_at >= COMMIT_DELAY)
         )
 
-    def _taken(self) -> bytes:
-        taken = bytes(self.body)
+    def _take_body(self) -> bytes:
+        body = bytes(self.body)
         self.body.clear()
-        return taken
+        return body
 
     # ---- callbacks of the transport ----
 
     def data_received(self, data: bytes) -> None:
+        """Parse input and pass on, complete or abort the answer."""
         if self.parser is None:
             return
         sound = self.exchange is not None
@@ -114,11 +120,11 @@
         elif not sound:
             self._break()
         else:
-            self._pass_on()
+            self._forward_body()
 
     def eof_received(self) -> None:
-        """The end of an answer that nothing else ends; a reset, which is none, comes another way."""
-        if self.unframed and self.exchange is not None and self.answer is None and not self.in_head:
+        """Complete an answer without length or chunks; a reset is reported by connection_lost() instead."""
+        if self.ends_at_close and self.exchange is not None and self.answer is None and not self.in_head:
             self.on_message_complete()
             self._end(False)
 
@@ -127,7 +133,7 @@
         sink, self.sink = self.sink, None
         if sink is not None:
             if self.body:
-                sink.piece(self._taken())
+                sink.write_piece(self._take_body())
             sink.end()
         self._complete(answer, reuse)
 
@@ -138,41 +144,47 @@
         super()._break()
 
     def close(self) -> None:
+        """Close the connection; the sink is not called any more."""
         self.sink = None
         super().close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Release the parser."""
         super().connection_lost(exc)
-        self.parser = None  # ends the cycle with the parser, so no collection is needed
+        self.parser = None  # breaks the reference cycle, so that no garbage collection is needed
 
     # ---- callbacks of the parser ----
 
     def on_message_begin(self) -> None:
+        """Start an answer."""
         if self.answer is not None or self.exchange is None:
-            self.stray = True  # more than one answer to one request
+            self.stray = True  # a second answer, or one without a request
         self.begin()
 
     def on_headers_complete(self) -> None:
+        """Determine how the end of the answer is marked."""
         super().on_headers_complete()
         assert self.parser is not None
         framed = b"content-length" in self.headers or b"transfer-encoding" in self.headers
-        self.unframed = not framed and self.parser.get_status_code() >= 200
-        if self.unframed and not self.streams:
-            raise Unacceptable(501)  # from where nothing but the end of its connection would end it
+        self.ends_at_close = not framed and self.parser.get_status_code() >= 200
+        if self.ends_at_close and not self.streams:
+            raise Unacceptable(501)  # an answer that only ends with its connection is not expected here
         self.head_at = self.loop.time()
 
-    def too_long(self) -> None:
+    def on_body_too_large(self) -> None:
+        """Stream an answer that exceeds `max_body`, if possible."""
         length = self.headers.get(b"content-length", b"0")
-        if not self.streams or int(length) > MAX_LONG or self.size > MAX_LONG:
-            super().too_long()
-        self.long = True
+        if not self.streams or int(length) > MAX_STREAMED_BODY or self.size > MAX_STREAMED_BODY:
+            super().on_body_too_large()
+        self.oversized = True
 
     def on_message_complete(self) -> None:
+        """Complete the answer."""
         if self.parser is None or self.stray:
             return
         status = self.parser.get_status_code()
         if status < 200:
-            return  # an interim answer; the final one follows
+            return  # an informational response; the final one follows
         self.reusable = self.parser.should_keep_alive()
         body = bytes(self.body) if self.sink is None else b""
         self.answer = Answer(status, self.headers, body)
--- a/dykeshift/engine/drain.py
+++ b/dykeshift/engine/drain.py
@@ -1,10 +1,10 @@
-"""One drain for SIGTERM, the operators' standby and an upgrade: a state machine without sockets or clock.
+"""The drain on SIGTERM, on an operator's standby and on an upgrade: a state machine without sockets or clock.
 
-Serving: clients are taken. Draining: `/ready` says no; answers close their connections; what is idle is
-closed; new connections are still served, as some come until everybody has noticed. Ending: the same, and
-after LINGER nobody is accepted; it is over when all is answered, and in any case when the process has to end,
-which `engine/termination.py` knows and the caller of `look` tells. Standby and back may follow each other at
-will; nothing takes an ending back.
+SERVING: normal operation. DRAINING: `/ready` answers 503, connections are closed after their next answer and
+idle ones are closed; new connections are still served, as clients take some time to notice. ENDING: the same,
+and after LINGER no connection is accepted. OVER: all requests have been answered, or the process has to exit
+now (`engine/termination.py` decides when, and the caller of `look` passes it on). Standby can be entered and
+left any number of times; ENDING cannot be left.
 """
 
 from __future__ import annotations
@@ -12,13 +12,14 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-KEPT = 0.4  # seconds of a drain in which idle connections may bring one more request, answered with a close
-SILENT = 1.0  # seconds of a drain after which connections that never asked go too; new ones come for 0.4
-LINGER = 0.6  # seconds after SIGTERM in which new connections still come
+KEEP_ALIVE_GRACE = 0.4  # seconds of a drain in which an idle connection may send one more request
+# Seconds of a drain until connections without any request are closed; new connections arrive for up to 0.4 s.
+SILENT_GRACE = 1.0
+LINGER = 0.6  # seconds after SIGTERM in which new connections are still accepted
 
 
 class State(Enum):
-    """How far a process is with letting go of its clients."""
+    """The state of the drain."""
 
     SERVING = auto()
     DRAINING = auto()
@@ -27,50 +28,50 @@
 
 
 class Hurry(Enum):
-    """How much of its time an ending process has left."""
+    """What the time left to an ending process allows."""
 
-    NONE = auto()
-    REFUSE = auto()  # nothing that comes now can be answered any more but with a refusal
-    EXIT = auto()  # the process ends now
+    NONE = auto()  # no restriction
+    REFUSE = auto()  # new requests can only be refused
+    EXIT = auto()  # the process has to exit now
 
 
 @dataclass(frozen=True, slots=True)
 class Open:
-    """What a look at the clients found that is not done."""
+    """What is still open on the clients' connections."""
 
-    busy: bool = False  # something that has begun to come is not answered
-    silent: bool = False  # a connection that has never asked is there
+    busy: bool = False  # a request has been received, at least in part, and is not answered
+    silent: bool = False  # there is a connection on which no request has been received
 
 
 @dataclass(frozen=True, slots=True)
 class Orders:
-    """What is to be done now."""
+    """What the caller has to do now."""
 
-    close_kept: bool = False  # idle connections that have been answered
-    close_silent: bool = False  # also those on which nothing was ever asked
+    close_kept: bool = False  # close idle connections on which an answer has been sent
+    close_silent: bool = False  # also close connections on which no request has been received
     stop_accepting: bool = False
-    refuse_unfinished: bool = False  # requests that have begun to come and are not whole
+    refuse_unfinished: bool = False  # refuse requests that have been received only in part
 
 
 class Drain:
-    """Times are seconds on one clock that never runs backwards."""
+    """Times are seconds on a monotonic clock."""
 
     def __init__(self, shared: bool = False) -> None:
-        """`shared`: another process accepts from the same listener, so nobody need wait for stragglers."""
+        """`shared`: another process also accepts from the listener, so this one may stop at once."""
         self.shared = shared
         self.state = State.SERVING
-        self.yielding = False  # a later process of this balancer serves too: clients are to move to it
-        self.since = 0.0
-        self.closed = False  # nobody is accepted any more
+        self.yielding = False  # a newer process of this balancer also serves: clients should move to it
+        self.since = 0.0  # when the current state was entered
+        self.closed = False  # no connection is accepted any more
 
     @property
     def taking(self) -> bool:
-        """Whether `/ready` may say yes."""
+        """Whether `/ready` may answer 200."""
         return self.state is State.SERVING
 
     @property
-    def keeping(self) -> bool:
-        """Whether connections are kept after an answer."""
+    def keeps_connections(self) -> bool:
+        """Whether connections are kept open after an answer."""
         return self.taking and not self.yielding
 
     @property
@@ -79,39 +80,40 @@
         return self.state in (State.ENDING, State.OVER)
 
     def standby(self, now: float) -> None:
-        """Begin to drain, unless it does already."""
+        """Start to drain, unless it is draining already."""
         if self.state is State.SERVING:
             self.state, self.since = State.DRAINING, now
 
     def active(self) -> bool:
-        """Whether it could be taken back."""
+        """Return to normal operation; returns whether that was possible."""
         if self.ending:
             return False
         self.state = State.SERVING
         return True
 
     def terminate(self, now: float) -> None:
-        """The process is told to end; nothing takes that back."""
+        """Start the final drain, which cannot be cancelled."""
         if not self.ending:
             self.state, self.since = State.ENDING, now
 
     def look(self, now: float, found: Open, hurry: Hurry = Hurry.NONE) -> Orders:
-        """Called every so often while it does not serve.
+        """Advance the state; called periodically while draining, with what was `found` open.
 
-        Once it is over nothing may come between: whoever ends the process does so in the same instant.
+        When this sets OVER, the caller has to end the process without giving control to the event loop
+        in between, so that no request is read that would not be answered.
         """
         if self.taking:
             return Orders()
         age = now - self.since
-        # Over at a look after the one that closed the listener: what came in between is seen first.
-        done = self.closed and age >= LINGER and not found.busy and not (found.silent and age < SILENT)
+        # OVER only in a call after the one that closed the listener, so that `found` covers what was queued.
+        done = self.closed and age >= LINGER and not found.busy and not (found.silent and age < SILENT_GRACE)
         if self.ending and (done or hurry is Hurry.EXIT):
             self.state = State.OVER
         hurried = hurry is not Hurry.NONE
         self.closed = self.ending and (self.shared or age >= LINGER or hurried)
         return Orders(
-            close_kept=age >= KEPT or hurried,
-            close_silent=age >= SILENT or hurried,
+            close_kept=age >= KEEP_ALIVE_GRACE or hurried,
+            close_silent=age >= SILENT_GRACE or hurried,
             stop_accepting=self.closed,
             refuse_unfinished=hurried,
         )
--- a/dykeshift/engine/features.py
+++ b/dykeshift/engine/features.py
@@ -1,6 +1,6 @@
-"""The project's own feature file (`deploy/lifttrail.toml`): a section for each feature, absent means off.
+"""The feature file (`deploy/lifttrail.toml`): a section for each feature, which is off if that is absent.
 
-What is off costs nothing: a file that is missing or holds nothing but comments is not even parsed.
+Features that are off cost nothing: a file that is missing or contains only comments is not parsed.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def read(path: str, required: bool) -> dict[str, Any]:
-    """The file's sections as they stand; ConfigError in one line. Not `required`: it may be missing."""
+    """The file's sections, unchecked; a missing file is an error only if `required`. Raises ConfigError."""
     try:
         with open(path, "rb") as file:
             data = file.read()
@@ -34,7 +34,7 @@
 
 
 def convert(path: str, name: str, section: Any, to: type[T]) -> T:
-    """One section, typed; ConfigError names what is unknown, missing or of the wrong kind."""
+    """Convert a section to a type; ConfigError names what is unknown, missing or of the wrong type."""
     try:
         import msgspec
     except ImportError:
--- a/dykeshift/engine/invariants.py
+++ b/dykeshift/engine/invariants.py
@@ -1,8 +1,9 @@
-"""Rules that hold at every instant, checked as the program runs, and reasons for what is kept from happening.
+"""Invariants that are checked at run time, and counted reasons for withheld attempts and closed connections.
 
-`Stage` is the one place that says whether an answer may be given to a request, `KeptBack` why an attempt did
-not go out, `CloseReason` why a client's connection was closed by this side. A broken invariant is counted and
-logged; what would break it does not happen, but for those that time breaks (`Occurrences.broken`).
+`Stage` alone decides whether a request may be answered; `KeptBack` says why an attempt was not sent, and
+`CloseReason` why this side closed a client's connection. A violation is counted and logged. The operation
+that would violate an invariant is not carried out (`violated`), except for invariants that the passing of
+time breaks (`broken`).
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 
 
 class Stage(Enum):
-    """How far the answer to a request is."""
+    """The state of the answer to a request."""
 
-    WAITING = "waiting"  # none has begun: an answer may be given
-    ANSWERING = "answering"  # a long one is going out: nothing but its rest and its end may follow
-    OVER = "over"  # it was answered, or its client has gone: nothing goes to the client any more
+    WAITING = "waiting"  # not begun: an answer may be given
+    ANSWERING = "answering"  # a streamed answer is in progress: only its rest may be sent
+    OVER = "over"  # answered, or the client has disconnected: nothing may be sent to the client
 
     @property
     def may_be_answered(self) -> bool:
-        """Whether a final answer, whole or long, may begin now."""
+        """Whether a final answer may begin now."""
         return self is Stage.WAITING
 
 
 class Invariant(Enum):
-    """What never happens, whatever fails."""
+    """Conditions that hold whatever fails."""
 
     ONE_ANSWER = "a request gets one final answer"
     WHOLE_ANSWER = "nothing is written into an answer that has begun"
@@ -38,12 +39,14 @@
 
 
 class KeptBack(Enum):
-    """Why an attempt that was decided on did not go out."""
-
-    RULES_CHANGED = "rules-changed"  # those that it was decided by are not in force any more
-    NO_TIME = "no-time"
-    UPSTREAM_CLOSED = "upstream-closed"  # to new requests: draining, gone, replaced or out by hand
-    KEY_WINDOW_OVER = "key-window-over"
+    """Why an attempt that had been decided on was not sent."""
+
+    RULES_CHANGED = "rules-changed"  # the settings that it was decided by are no longer in force
+    NO_TIME = "no-time"  # its time limit has passed
+    UPSTREAM_CLOSED = (
+        "upstream-closed"  # to new requests: draining, removed, replaced or banned by an operator
+    )
+    KEY_WINDOW_OVER = "key-window-over"  # too late for the upstreams to recognise the idempotency key
     CLIENT_GONE = "client-gone"
 
 
@@ -51,17 +54,17 @@
     """Why this side closed a client's connection."""
 
     IDLE = "idle"
-    CROWDED = "crowded"  # it made room for another
-    STALLED = "stalled"
+    CROWDED = "crowded"  # to make room for another connection
+    STALLED = "stalled"  # no progress of a body
     DRAINING = "draining"
-    ENDING = "ending"
-    ANSWER_CUT = "answer-cut"  # the rest of a long answer will not come
-    REJECTED = "rejected"
-    UNFINISHED = "unfinished"  # its request had not come whole as the process had to end
+    ENDING = "ending"  # the process ends
+    ANSWER_CUT = "answer-cut"  # a streamed answer was truncated
+    REJECTED = "rejected"  # invalid input
+    UNFINISHED = "unfinished"  # its request was incomplete when the process had to end
 
 
-class Occurrences:
-    """How often each of these has happened since the process started."""
+class EventCounts:
+    """How often each of these events has happened since the process started."""
 
     def __init__(self) -> None:
         self.violations: Counter[Invariant] = Counter()
@@ -69,14 +72,14 @@
         self.closed: Counter[CloseReason] = Counter()
 
     def violated(self, invariant: Invariant, request_id: str) -> None:
-        """Count and log what would have broken an invariant; the caller does not do it."""
-        self._note(invariant, request_id, "kept from happening: %s (request %s)")
+        """Count and log an operation that would violate an invariant; the caller does not carry it out."""
+        self._log(invariant, request_id, "kept from happening: %s (request %s)")
 
     def broken(self, invariant: Invariant, request_id: str) -> None:
-        """Count and log that an invariant is broken, which nobody could keep from happening."""
-        self._note(invariant, request_id, "not kept: %s (request %s)")
+        """Count and log a violation that could not be prevented."""
+        self._log(invariant, request_id, "not kept: %s (request %s)")
 
-    def _note(self, invariant: Invariant, request_id: str, text: str) -> None:
+    def _log(self, invariant: Invariant, request_id: str, text: str) -> None:
         self.violations[invariant] += 1
         log.error(
             text,
@@ -89,10 +92,10 @@
         )
 
     def figures(self) -> dict[str, dict[str, int]]:
-        """All counts that are not zero, by kind and name."""
+        """All counts other than zero, by kind and name."""
         found = {
-            "violations": {one.name.lower(): count for one, count in self.violations.items()},
-            "kept_back": {one.value: count for one, count in self.kept_back.items()},
-            "closed": {one.value: count for one, count in self.closed.items()},
+            "violations": {invariant.name.lower(): count for invariant, count in self.violations.items()},
+            "kept_back": {reason.value: count for reason, count in self.kept_back.items()},
+            "closed": {reason.value: count for reason, count in self.closed.items()},
         }
         return {kind: counts for kind, counts in found.items() if counts}
--- a/dykeshift/engine/ledger.py
+++ b/dykeshift/engine/ledger.py
@@ -1,16 +1,16 @@
-"""What was counted since the process started: fed once, where things happen.
+"""Counters since the start of the process; each event is counted once, where it happens.
 
-At every instant, for each class: taken = success + busy + failure + gone + inflight.
+For each class, taken = success + busy + failure + gone + inflight holds at any time.
 """
 
 from __future__ import annotations
 
-from dykeshift.engine.invariants import Occurrences
+from dykeshift.engine.invariants import EventCounts
 from dykeshift.engine.terms import How
 
 
 class Tier:
-    """The requests of one class, under whatever terms it was known."""
+    """Counts of the requests of one class, across changes of its settings."""
 
     __slots__ = ("taken", "success", "busy", "failure", "gone")
 
@@ -19,11 +19,11 @@
 
     @property
     def inflight(self) -> int:
-        """Requests of the class that are under way."""
+        """Requests of the class in progress."""
         return self.taken - self.success - self.busy - self.failure - self.gone
 
     def end(self, how: How | None) -> None:
-        """Of one request; None: its client has gone."""
+        """Count the end of a request; None: its client disconnected."""
         if how is How.SERVED:
             self.success += 1
         elif how is How.REFUSED:
@@ -35,20 +35,20 @@
 
 
 class Ledger:
-    """All counts of the process."""
+    """All counters of the process."""
 
     def __init__(self) -> None:
-        self.tiers: dict[str, Tier] = {}  # by name; one that vanished keeps its counts
-        self.attempts = 0  # written whole to upstreams
+        self.tiers: dict[str, Tier] = {}  # by name of the class; those of a removed class are kept
+        self.attempts = 0  # completely written to upstreams
         self.reloads = self.reloads_failed = 0
-        self.occurrences = Occurrences()
+        self.occurrences = EventCounts()
 
     def tier(self, name: str) -> Tier:
-        """Made when first asked for; kept by whoever counts, so that no request looks a name up."""
+        """The counts of a class, created on first use; callers keep them to save a lookup per request."""
         return self.tiers.setdefault(name, Tier())
 
     def rejected(self, name: str) -> None:
-        """A request that was no acceptable one of its class; of no class ever known it counts nowhere."""
+        """Count an invalid request as a failure of its class; not counted if the class was never known."""
         tier = self.tiers.get(name)
         if tier is not None:
             tier.taken += 1
@@ -56,5 +56,5 @@
 
     @property
     def inflight(self) -> int:
-        """Requests of all classes that are under way."""
+        """Requests of all classes in progress."""
         return sum(tier.inflight for tier in self.tiers.values())
--- a/dykeshift/engine/listener.py
+++ b/dykeshift/engine/listener.py
@@ -1,9 +1,9 @@
-"""Accepting connections: none is let go because the system has no descriptor or no memory for a moment.
+"""Accepting connections, without losing any while the system is out of descriptors or memory.
 
-The event loop's own listener clears its queue when `accept` fails with EMFILE or ENFILE: it accepts each
-connection on a spare descriptor and closes it unread, with the request that may be on it. Here a connection
-stays in the kernel's queue until it can be accepted, and is in nobody's hands for no longer than it takes
-to make its transport (`pending`). A listener that closes takes what is queued first.
+When `accept` fails with EMFILE or ENFILE, the event loop's own listener empties its queue: it accepts each
+connection on a spare descriptor and closes it unread, along with the request that may have been sent. Here a
+connection stays in the kernel's queue until it can be accepted. Between accept and the creation of its
+transport it is tracked as `pending`. On close, a listener accepts all queued connections first.
 """
 
 from __future__ import annotations
@@ -19,15 +19,16 @@
 
 log = logging.getLogger(__name__)
 
-# Connections that are being handed over at once: few, as each has a descriptor that no front counts yet, and
-# those that a front lets go for them keep theirs until the next round of the loop.
-MOST_AT_ONCE = 4
-MOST_FAILURES = 16  # calls of accept that may fail in one round of the loop
-RETRY = 0.01  # seconds until accept is tried again after that, or after the system had nothing left for it
-BIND_PATIENCE = 5.0  # seconds for which opening a listener is tried again
-BIND_RETRY = 0.1  # seconds between two tries
-LOG_EVERY = 5.0  # seconds between two lines of log about failing calls of accept
-EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+# Accepted connections whose transports are being created: few, as each has a descriptor that no frontend
+# counts yet, and a connection that a frontend closes to make room keeps its own until the next iteration of
+# the event loop.
+MAX_CONNECTING = 4
+MAX_ACCEPT_FAILURES = 16  # failed calls of accept before a pause
+ACCEPT_RETRY_DELAY = 0.01  # seconds until accept is tried again after that, or after running out of resources
+BIND_TIMEOUT = 5.0  # seconds for which opening a listener is retried
+BIND_RETRY_DELAY = 0.1  # seconds between those retries
+LOG_INTERVAL = 5.0  # minimum seconds between two log messages about failed calls of accept
+EXHAUSTION_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 Factory = Callable[[], asyncio.BaseProtocol]
 
@@ -36,13 +37,13 @@
     """A listener that accepts until it is closed."""
 
     def pending(self) -> bool:
-        """Whether a connection has come that no protocol has been told of yet."""
+        """Whether a connection has been accepted, or is to be, whose protocol has not been called yet."""
 
     def close(self) -> None:
-        """Accept what is queued, then nothing more."""
+        """Accept all queued connections, then stop."""
 
     def abandon(self) -> None:
-        """Close at once, whatever is queued: the process ends."""
+        """Close at once, dropping queued connections, as the process ends."""
 
 
 class Listen(Protocol):
@@ -56,29 +57,29 @@
         backlog: int,
         inherited: socket.socket | None = None,
     ) -> Listening:
-        """`address`: host and port, unused where a listener is `inherited`; `backlog`: connections queued."""
+        """`address`: host and port, ignored if a socket is `inherited`; `backlog`: of the accept queue."""
 
 
 class Listener:
-    """Accepts from one listening socket, and owns it."""
+    """Accepts connections from a listening socket, which it owns."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, factory: Factory, listening: socket.socket) -> None:
         self.loop, self.factory, self.socket = loop, factory, listening
         self.address: Address = listening.getsockname()
-        self.handing_over: set[asyncio.Task[None]] = set()
-        self.failures = 0  # calls of accept that failed since the last line of log
-        self.logged_at = -LOG_EVERY
+        self.connecting: set[asyncio.Task[None]] = set()
+        self.failures = 0  # failures since the last log message
+        self.logged_at = -LOG_INTERVAL
         self.retry: asyncio.TimerHandle | None = None
         self.closing = self.closed = False
-        self.paused = False  # the loop does not look at the socket
+        self.paused = False  # the socket's reader is not registered with the loop
         loop.add_reader(listening.fileno(), self._accept)
 
     def pending(self) -> bool:
-        """See `Listening.pending`; what is still queued counts while the listener closes."""
-        return bool(self.handing_over) or (self.closing and not self.closed)
+        """See `Listening.pending`; while closing, the queue counts until it is known to be empty."""
+        return bool(self.connecting) or (self.closing and not self.closed)
 
     def close(self) -> None:
-        """See `Listening.close`. Where accept fails just now it goes on until the queue is empty."""
+        """See `Listening.close`. If accept fails, it is retried until the queue is empty."""
         if not self.closing:
             self.closing = True
             self._accept()
@@ -93,9 +94,9 @@
             self.socket.close()
 
     def _accept(self) -> None:
-        """Accept what is queued; how `accept` fails says whether to go on, to wait, or that none is left."""
-        failed = 0
-        while not self.closed and len(self.handing_over) < MOST_AT_ONCE:
+        """Accept queued connections; the error of `accept` decides whether to go on, pause or stop."""
+        failures = 0
+        while not self.closed and len(self.connecting) < MAX_CONNECTING:
             try:
                 accepted, _ = self.socket.accept()
             except (BlockingIOError, InterruptedError):
@@ -103,18 +104,18 @@
                     self.abandon()
                 return
             except OSError as exc:
-                self._note(exc)
-                failed += 1
-                if exc.errno not in EXHAUSTED and failed < MOST_FAILURES:
-                    continue  # of the one connection: the next may be sound
+                self._log_failure(exc)
+                failures += 1
+                if exc.errno not in EXHAUSTION_ERRORS and failures < MAX_ACCEPT_FAILURES:
+                    continue  # an error of that one connection: try the next
                 self._pause()
-                self.retry = self.loop.call_later(RETRY, self._resume)
+                self.retry = self.loop.call_later(ACCEPT_RETRY_DELAY, self._resume)
                 return
-            self._hand_over(accepted)
-        self._pause()  # until one of them has been handed over
+            self._start_connecting(accepted)
+        self._pause()  # until the transport of one of them has been created
 
     def _pause(self) -> None:
-        """Protects the loop from turning without end on a queue that it cannot empty now."""
+        """Unregister the reader; the loop would spin on a queue that cannot be emptied now."""
         if not self.paused:
             self.paused = True
             self.loop.remove_reader(self.socket.fileno())
@@ -126,14 +127,14 @@
             self.loop.add_reader(self.socket.fileno(), self._accept)
             self._accept()
 
-    def _hand_over(self, accepted: socket.socket) -> None:
+    def _start_connecting(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
         task = self.loop.create_task(self._connect(accepted))
-        self.handing_over.add(task)
-        task.add_done_callback(self._handed_over)
+        self.connecting.add(task)
+        task.add_done_callback(self._connect_done)
 
-    def _handed_over(self, task: asyncio.Task[None]) -> None:
-        self.handing_over.discard(task)
+    def _connect_done(self, task: asyncio.Task[None]) -> None:
+        self.connecting.discard(task)
         if self.retry is None:
             self._resume()
 
@@ -141,15 +142,15 @@
         try:
             await self.loop.connect_accepted_socket(self.factory, accepted)
         except OSError as exc:
-            self._note(exc)
+            self._log_failure(exc)
             accepted.close()
 
-    def _note(self, exc: OSError) -> None:
+    def _log_failure(self, exc: OSError) -> None:
         self.failures += 1
         now = self.loop.time()
-        if now - self.logged_at >= LOG_EVERY:
+        if now - self.logged_at >= LOG_INTERVAL:
             log.warning(
-                "accepting connections fails for now (%d times since the last such line): %s; they wait",
+                "accepting connections failed (%d failures since the last such message), retrying: %s",
                 self.failures,
                 exc,
                 extra={
@@ -167,7 +168,7 @@
     backlog: int,
     inherited: socket.socket | None = None,
 ) -> Listener:
-    """Listen on `address` (host, port), or accept from a listener that was inherited. Raises OSError."""
+    """Listen on `address` (host, port), or on an inherited socket. Raises OSError."""
     if inherited is None:
         listening = await _bound(loop, address, backlog)
     else:
@@ -178,19 +179,19 @@
 
 
 async def _bound(loop: asyncio.AbstractEventLoop, address: Address, backlog: int) -> socket.socket:
-    """A listening socket. Where the system has nothing left for it, it is tried again for a while."""
+    """Create a listening socket, retrying for BIND_TIMEOUT if the system is out of resources."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    until = loop.time() + BIND_PATIENCE
+    until = loop.time() + BIND_TIMEOUT
     while True:
         try:
             return socket.create_server(address, family=family, backlog=backlog)
         except OSError as exc:
-            if exc.errno not in EXHAUSTED or loop.time() >= until:
+            if exc.errno not in EXHAUSTION_ERRORS or loop.time() >= until:
                 raise
             log.warning(
-                "listening on %s:%d fails for now: %s",
+                "listening on %s:%d failed, retrying: %s",
                 *address,
                 exc,
                 extra={"event": "listener.bind-fails", "fields": {"error": errno.errorcode[exc.errno]}},
             )
-        await asyncio.sleep(BIND_RETRY)
+        await asyncio.sleep(BIND_RETRY_DELAY)
--- a/dykeshift/engine/replies.py
+++ b/dykeshift/engine/replies.py
@@ -1,4 +1,4 @@
-"""Answers to clients in HTTP's words: what a final answer is called, and its bytes."""
+"""HTTP responses to clients: the status and body for each final answer, and their encoding."""
 
 from __future__ import annotations
 
@@ -24,31 +24,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer to a client. `content_type` is the upstream's, where it has one."""
+    """An HTTP response to a client. `content_type` is the upstream's if it sent one."""
 
     status: int
     body: Bytes
     content_type: bytes = b"text/plain"
-    retry_after: int = 0  # nanoseconds; 0: not said
+    retry_after: int = 0  # nanoseconds; 0: no Retry-After header
 
 
-_UNSERVED = {
+_FAILED_REPLIES = {
     How.FAILED: Reply(500, b"failed: it may have had its effect\n"),
     How.LATE: Reply(504, b"failed: no answer in time\n"),
 }
 
 
-def word(final: Final) -> Reply:
-    """A final answer in HTTP's words."""
+def reply_to(final: Final) -> Reply:
+    """The HTTP response for a final answer."""
     if final.how is How.SERVED:
         return Reply(200, final.answer.body, final.answer.content_type)
     if final.how is How.REFUSED:
         return Reply(503, b"refused: try again\n", retry_after=final.retry_after)
-    return _UNSERVED[final.how]
+    return _FAILED_REPLIES[final.how]
 
 
 def render(reply: Reply, keep: bool) -> bytes:
-    """The bytes of an answer; `keep`: its connection stays open after it."""
+    """Encode a response; `keep`: its connection stays open after it."""
     lines = [
         b"HTTP/1.1 %d %s" % (reply.status, _REASONS[reply.status]),
         b"Content-Type: " + reply.content_type,
--- a/dykeshift/engine/server.py
+++ b/dykeshift/engine/server.py
@@ -1,4 +1,4 @@
-"""The clients' side: their connections, one answer to each request, and /ready."""
+"""The HTTP frontend: client connections, exactly one answer to each request, and `/ready`."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 
 from dykeshift.clock import Clock
 from dykeshift.engine.arrivals import Arrivals
-from dykeshift.engine.bodies import Answer, Bytes, Rest, Upload
+from dykeshift.engine.bodies import Answer, Bytes, BodyStream, Upload
 from dykeshift.engine.budget import Budget
 from dykeshift.engine.drain import Drain, Orders
 from dykeshift.engine.driver import Driver
 from dykeshift.engine.invariants import CloseReason, Invariant
-from dykeshift.engine.http1 import MAX_BODY, MAX_LONG, Gatherer, Unacceptable, status_of
-from dykeshift.engine.replies import Reply, render, word
-from dykeshift.engine.requests import BadRequest, Reader
+from dykeshift.engine.http1 import MAX_BODY, MAX_STREAMED_BODY, Gatherer, Unacceptable, status_of
+from dykeshift.engine.replies import Reply, render, reply_to
+from dykeshift.engine.requests import BadRequestError, Reader
 from dykeshift.engine.terms import FAILED, Final, How
 
 log = logging.getLogger(__name__)
 
-SWEEP = 0.1  # seconds between two looks at connections that do nothing
-FIRST = 2.5  # seconds from connecting for the first byte of a request, and from that for its head
-SLOW, PACE = 2.5, 32 * 1024  # seconds for a request to come whole, and one more for so many bytes of body
-STALL = 10.0  # seconds without any progress after which a body, either way, is given up
-IDLE = 30.0  # seconds that a connection is kept after an answer
-ONCE = 2.0  # the same where one request was all that came, and for all in a crowd
-CROWD = 0.5  # of the limit on connections: so many that have been answered are one
-LINGER = 0.5  # seconds in which a rejected client may go on sending, so that it sees its answer
+SWEEP_INTERVAL = 0.1  # seconds between checks of all connections for timeouts
+HEAD_TIMEOUT = 2.5  # seconds from connecting to a request's first byte, and from that to the end of its head
+# Seconds until a request is complete, plus the time that its body takes at this rate, in bytes per second.
+REQUEST_TIMEOUT, MIN_BODY_RATE = 2.5, 32 * 1024
+STALL_TIMEOUT = 10.0  # seconds without progress after which a body transfer is aborted, in either direction
+IDLE_TIMEOUT = 30.0  # seconds that an idle keep-alive connection is kept open
+ONCE = 2.0  # idle timeout in seconds after only one request, and of all connections when crowded
+CROWDED_SHARE = 0.5  # the frontend is crowded if more than this share of its connections have been answered
+LINGER_TIMEOUT = 0.5  # seconds for which a rejected client may go on sending, so that it can read its answer
 
 
 class Front:
-    """All client connections together, within a bound."""
+    """All client connections, limited in number."""
 
     def __init__(
         self,
@@ -47,31 +48,33 @@
         drain: Drain | None = None,
         kept: int = 1 << 20,
     ) -> None:
-        """`kept`: bytes of long requests that may be kept while they come and until they are answered."""
+        """`kept`: limit in bytes on all long request bodies that are buffered, until they are answered."""
         self.loop = loop
         self.clock = clock
         self.driver = driver
         self.reader = reader
         self.limit = limit
-        self.clients: dict[Client, None] = {}  # a dict, as its order is that of their coming
-        self.served = 0  # those of them that have been answered
+        self.clients: dict[Client, None] = {}  # a dict as an ordered set: in order of arrival
+        self.served = 0  # the number of open connections on which an answer has been sent
         self.budget = Budget[Client](kept)
         self.drain = drain or Drain()
         self.arrivals = Arrivals(loop, clock)
-        self.sweeper = loop.call_later(SWEEP, self.sweep)
+        self.sweeper = loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def connect(self) -> Client:
+        """The protocol for a new connection."""
         return Client(self)
 
     def is_ready(self) -> bool:
+        """Whether `/ready` answers 200."""
         return self.drain.taking and bool(self.driver.ready) and not self.driver.waits()
 
     def admit(self, client: Client) -> None:
-        """Count a new connection in; over the limit, another makes room.
+        """Register a new connection; over the limit, close an idle one, or else the new one.
 
-        Protects the limit on descriptors, and the usual clients from those that connect and say
-        nothing: these go first, the oldest of them, then who asked once and stayed, then who has been
-        idle longest.
+        Protects the limit on file descriptors, and active clients from those that connect and send
+        nothing. Connections that never sent a request are closed first, then those with only one
+        request, then all others; within each group the one that has been idle longest.
         """
         self.clients[client] = None
         if len(self.clients) > self.limit:
@@ -79,61 +82,65 @@
             idle.sort(key=lambda c: (min(c.answers, 2), c.since))
             next((c for c in idle if not c.has_input()), client).close_by_us(CloseReason.CROWDED)
 
-    def make_room(self) -> None:
-        """Over the budget, the request that holds most and is still coming goes out early.
+    def relieve_budget(self) -> None:
+        """Over the budget, start forwarding the largest request that is still being received.
 
-        One at a time: it holds on to its bytes until an upstream takes them, and takes no more meanwhile.
+        One request at a time: its buffer is only released once an upstream connection accepts it, and
+        reading from its client is paused until then.
         """
-        if self.budget.over and (client := self.budget.largest(Client.coming)) is not None:
-            client.go_early()
+        if self.budget.exceeded and (client := self.budget.largest(Client.is_buffering)) is not None:
+            client.start_upload()
 
     def sweep(self) -> None:
+        """Check all connections for timeouts; runs every SWEEP_INTERVAL."""
         now = self.loop.time()
         for client in list(self.clients):
-            client.expire(now)
-        self.sweeper = self.loop.call_later(SWEEP, self.sweep)
+            client.check_timeouts(now)
+        self.sweeper = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
-    def crowded(self) -> bool:
-        return self.served > self.limit * CROWD
+    def is_crowded(self) -> bool:
+        """Whether so many connections are in use that idle ones are closed sooner."""
+        return self.served > self.limit * CROWDED_SHARE
 
     def busy(self) -> bool:
+        """Whether a connection has an unanswered request, unsent output or unread input."""
         return any(not client.between() or client.has_input() for client in self.clients)
 
     def silent(self) -> bool:
-        """Whether there is a connection on which nothing was ever asked."""
+        """Whether there is a connection on which no request has been received."""
         return any(not client.answers and client.between() for client in self.clients)
 
     def unread(self) -> bool:
-        """Whether a connection has bytes, or its end, that nobody has read."""
+        """Whether a connection has input, or an end of file, that has not been read."""
         return any(not client.closing and client.has_input() for client in self.clients)
 
     def stop_reading(self) -> None:
-        """The process ends: nothing more is read, and so nothing is sent on that nobody would answer."""
+        """Stop reading from all clients as the process ends: a request read now would get no answer."""
         for client in list(self.clients):
             client.stop_reading()
 
     def close_all(self) -> None:
-        """The process ends: all connections but those on which a long answer is on its way."""
+        """Close all connections as the process ends, except those with a streamed answer in progress."""
         for client in list(self.clients):
-            if client.rest is None:
+            if client.streamed_answer is None:
                 client.close_by_us(CloseReason.ENDING)
 
     def streaming(self) -> bool:
-        """Whether a long answer is on its way."""
-        return any(client.rest is not None for client in self.clients)
+        """Whether a streamed answer is in progress."""
+        return any(client.streamed_answer is not None for client in self.clients)
 
     def cut_all(self) -> None:
-        """The process ends now; whose answer is not whole is to see it."""
+        """Abort all connections so that clients can tell that an unfinished answer is truncated."""
         for client in list(self.clients):
             client.cut()
 
     def refuse_unfinished(self) -> None:
-        """Refuse requests that have begun to come and will not be whole in time."""
+        """Refuse requests that have been received only in part and cannot be complete in time."""
         for client in list(self.clients):
             client.refuse_unfinished()
 
     def close_idle(self, orders: Orders) -> None:
-        """Close connections on which no request has arrived, be it unread."""
+        """Close idle connections, unless they have unread input."""
         if orders.close_kept:
             for client in list(self.clients):
                 if client.between() and (client.answers or orders.close_silent) and not client.has_input():
@@ -141,113 +148,131 @@
 
 
 class Client(Gatherer, asyncio.Protocol):
+    """A client's connection: receives one request at a time, submits it and sends its answer."""
+
     __slots__ = (
         "front",
         "transport",
         "parser",
         "target",
         "busy",
-        "born",
+        "connected_at",
         "since",
-        "keep",
+        "keep_alive",
         "closing",
-        "cut_short",
+        "answered_early",
         "request_id",
-        "began",
-        "came",
-        "whole",
-        "piped",
+        "request_began",
+        "last_arrival",
+        "request_complete",
+        "pipelined",
         "answers",
         "upload",
-        "rest",
+        "streamed_answer",
         "chunked",
-        "framed",
-        "mark",
-        "moved",
-        "held",
+        "end_marked",
+        "progress",
+        "progress_at",
+        "reading_paused",
     )
 
     def __init__(self, front: Front) -> None:
-        super().__init__(MAX_LONG if front.reader.objection is None else MAX_BODY)
+        super().__init__(MAX_STREAMED_BODY if front.reader.objection is None else MAX_BODY)
         self.front = front
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.target = b""
-        self.busy = False  # a request has been taken and not answered
-        self.whole = False
-        self.piped = False  # more than one request at a time has come
-        self.keep = True
-        self.closing = False  # what comes from it is dropped
-        self.cut_short = False  # answered before its request had come whole
-        self.request_id = ""  # of the request that the driver has
-        self.began = self.came = 0  # when the first byte of the request came, and the latest
-        self.born = self.since = front.loop.time()  # since: when it last did something
+        self.busy = False  # a request has been accepted and not answered
+        self.request_complete = False
+        self.pipelined = False  # another request began before the current one was answered
+        self.keep_alive = True
+        self.closing = False  # further input is discarded
+        self.answered_early = False  # answered before its request was received completely
+        self.request_id = ""  # of the request that the driver is handling
+        self.request_began = self.last_arrival = 0  # ns, arrival of the request's first byte and latest bytes
+        self.connected_at = self.since = front.loop.time()  # since: start of the current state, for timeouts
         self.answers = 0
-        self.upload: Upload | None = None  # the body of a request that went out before it was whole
-        self.rest: Rest | None = None  # what is still to come of a long answer
-        self.chunked = self.framed = False  # how that answer goes out; framed: its end is told
-        self.held = False  # its body is not read: there is no room for it
-        self.mark: tuple[int, int] = (0, 0)  # of its progress
-        self.moved = self.born  # when there was any
+        self.upload: Upload | None = None  # the body of a request that is forwarded while it is received
+        self.streamed_answer: BodyStream | None = None  # the source of the rest of a streamed answer
+        # Framing of the streamed answer; end_marked: by length or chunks, so that the client sees its end.
+        self.chunked = self.end_marked = False
+        self.reading_paused = False  # the request's body is not read, as there is no buffer space for it
+        self.progress: tuple[int, int] = (
+            0,
+            0,
+        )  # bytes of body received and output not sent, when last checked
+        self.progress_at = self.connected_at  # when they last changed
 
     def between(self) -> bool:
-        """Idle: no byte of a request has come that is not answered, and no answer waits to be read."""
-        return not self.busy and not self.began and not self.closing and not self.unread_answer()
+        """Whether it is idle between requests: none received even in part, and all answers sent."""
+        return not self.busy and not self.request_began and not self.closing and not self.has_unsent_output()
 
-    def unread_answer(self) -> bool:
+    def has_unsent_output(self) -> bool:
+        """Whether output is buffered that the client has not read."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def has_input(self) -> bool:
+        """Whether input waits in the kernel."""
         return self.transport is not None and self.front.clock.has_input(self.transport)
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
+        """Whether the connection is closed, even if this has not been read yet."""
         return (
             self.transport is None or self.transport.is_closing() or self.front.clock.hung_up(self.transport)
         )
 
-    def expire(self, now: float) -> None:
-        """Let go of who is slow, silent or done.
+    def check_timeouts(self, now: float) -> None:
+        """Close the connection if it is too slow, silent or idle.
 
-        Protects descriptors: a first request is due from connecting on, however its bytes trickle in,
-        and who was turned away does not hold its connection by sending on.
+        Protects file descriptors: the timeout of a first request starts at the connect and is not
+        extended by single bytes, and a rejected client cannot keep its connection open by sending on.
         """
-        unread = self.transport.get_write_buffer_size() if self.transport is not None else 0
-        if (self.size, unread) != self.mark:
-            self.mark, self.moved = (self.size, unread), now
-        stalled = now - self.moved > STALL
+        unsent = self.transport.get_write_buffer_size() if self.transport is not None else 0
+        if (self.size, unsent) != self.progress:
+            self.progress, self.progress_at = (self.size, unsent), now
+        stalled = now - self.progress_at > STALL_TIMEOUT
         if self.busy:
-            if stalled and (self.rest is not None or self.upload is not None):
-                self.close_by_us(CloseReason.STALLED)  # the driver hears it as a client that has gone
+            if stalled and (self.streamed_answer is not None or self.upload is not None):
+                self.close_by_us(CloseReason.STALLED)  # reported to the driver as a client that disconnected
             return
         if self.closing:
-            late = now - self.since > LINGER if not unread else stalled
+            late = now - self.since > LINGER_TIMEOUT if not unsent else stalled
         elif self.between():
-            # Clients that ask once and stay would take the connections of those that come back.
-            kept = FIRST if not self.answers else ONCE if self.answers == 1 or self.front.crowded() else IDLE
-            late = now - self.since > kept
-        elif self.began:
-            late = now - self.since > (FIRST if self.in_head else SLOW + self.size / PACE)
+            # Clients that send one request and stay connected would use up the connections of returning ones.
+            limit = (
+                HEAD_TIMEOUT
+                if not self.answers
+                else ONCE
+                if self.answers == 1 or self.front.is_crowded()
+                else IDLE_TIMEOUT
+            )
+            late = now - self.since > limit
+        elif self.request_began:
+            late = now - self.since > (
+                HEAD_TIMEOUT if self.in_head else REQUEST_TIMEOUT + self.size / MIN_BODY_RATE
+            )
         else:
-            late = stalled  # its answer is being read
-        if late and self.began and not self.closing:
+            late = stalled  # its answer has not been sent completely
+        if late and self.request_began and not self.closing:
             self._reject(408, "the request did not come in time")
         elif late and not self.has_input():
             self.close_by_us(CloseReason.IDLE)
 
     def stop_reading(self) -> None:
-        """What comes from now on stays in the kernel; where an answer is on its way only a close is read."""
+        """Leave further input in the kernel; during a streamed answer, read on only to detect a close."""
         self.closing = True
-        if self.rest is None and self.transport is not None and not self.transport.is_closing():
+        if self.streamed_answer is None and self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
     def close_by_us(self, reason: CloseReason) -> None:
-        """Reset or end the connection, whatever is on it; counted by its reason."""
+        """Close the connection at once, whatever its state, and count the reason."""
         self.front.driver.ledger.occurrences.closed[reason] += 1
         self.abort()
 
     def abort(self) -> None:
-        # Out of the count at once: its end is told later, and until then it would be let go once more
-        # for each one that comes, and they would all stay.
+        """Close the connection at once."""
+        # Removed at once: connection_lost() comes later, and until then each new connection would choose
+        # this one again to be closed, so that the number of connections would exceed the limit.
         self.front.clients.pop(self, None)
         if self.transport is not None:
             self.transport.abort()
@@ -255,50 +280,55 @@
     # ---- callbacks of the transport ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.front.admit(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parse input, and submit, forward or reject the request."""
         if self.closing or self.parser is None:
             return
         if not self.busy or self.upload is not None:
             assert self.transport is not None
-            self.came = self.front.arrivals.of(self.transport)
-            if not self.began:
-                self.began, self.since = self.came, self.front.loop.time()
+            self.last_arrival = self.front.arrivals.of(self.transport)
+            if not self.request_began:
+                self.request_began, self.since = self.last_arrival, self.front.loop.time()
         try:
             self.parser.feed_data(data)
-            if not self.whole:
+            if not self.request_complete:
                 self.count(len(data))
         except httptools.HttpParserUpgrade:
-            # The parser leaves the body of such a request unread: it would go on without it.
+            # The parser does not read the body of such a request, so it would be forwarded without it.
             self._reject(400, "no upgrade is offered")
         except (httptools.HttpParserError, Unacceptable) as exc:
             self._reject(status_of(exc), "unacceptable or malformed HTTP")
-        if self.piped and not self.closing:
+        if self.pipelined and not self.closing:
             self._reject(400, "one request at a time")
         if self.upload is not None:
-            self._feed(self.upload)
-        elif self.whole:
-            self.whole = False
-            self._take()
+            self._feed_upload(self.upload)
+        elif self.request_complete:
+            self.request_complete = False
+            self._handle_request()
         elif len(self.body) > MAX_BODY:
-            self.front.budget.keep(self, len(self.body))
-            self.front.make_room()
+            self.front.budget.set_usage(self, len(self.body))
+            self.front.relieve_budget()
 
     def pause_writing(self) -> None:
-        if self.rest is not None:
-            self.rest.hold(True)
+        """Back-pressure from the client: stop reading the streamed answer."""
+        if self.streamed_answer is not None:
+            self.streamed_answer.hold(True)
 
     def resume_writing(self) -> None:
-        if self.rest is not None:
-            self.rest.hold(False)
+        """Continue reading the streamed answer."""
+        if self.streamed_answer is not None:
+            self.streamed_answer.hold(False)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Release everything and tell the driver if a request is open."""
         self.front.clients.pop(self, None)
         self.front.served -= self.answers > 0
-        self.transport = self.parser = self.rest = self.upload = None
-        self.front.budget.keep(self, 0)
+        self.transport = self.parser = self.streamed_answer = self.upload = None
+        self.front.budget.set_usage(self, 0)
         if self.busy:
             self.busy = False
             self.front.driver.client_gone(self.request_id)
@@ -306,44 +336,50 @@
     # ---- callbacks of the parser ----
 
     def on_message_begin(self) -> None:
-        if self.whole or self.busy:
-            self.piped = True
+        """Start a request, or note that it is pipelined."""
+        if self.request_complete or self.busy:
+            self.pipelined = True
             return
         self.begin()
         self.target = b""
 
     def on_url(self, url: bytes) -> None:
-        if not self.piped:
+        """Collect the request target, which may come in pieces."""
+        if not self.pipelined:
             self.target += url
 
     def on_headers_complete(self) -> None:
-        if self.piped:
+        """Check the headers and answer `Expect: 100-continue`."""
+        if self.pipelined:
             return
         super().on_headers_complete()
         if self.headers.get(b"expect", b"").lower() == b"100-continue" and self.transport is not None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_header(self, name: bytes, value: bytes | None) -> None:
-        if not self.piped:
+        """Collect a header."""
+        if not self.pipelined:
             super().on_header(name, value)
 
     def on_body(self, data: bytes) -> None:
-        if not self.piped:
+        """Collect a piece of the body."""
+        if not self.pipelined:
             super().on_body(data)
 
     def on_message_complete(self) -> None:
-        if not self.piped and self.parser is not None:
-            self.keep = self.parser.should_keep_alive()
-            self.whole = True
+        """Note that the request is complete."""
+        if not self.pipelined and self.parser is not None:
+            self.keep_alive = self.parser.should_keep_alive()
+            self.request_complete = True
 
     # ---- one request ----
 
-    def _take(self) -> None:
+    def _handle_request(self) -> None:
         assert self.parser is not None
         method = self.parser.get_method()
         self.busy = True
         if method == b"HEAD":
-            self.keep = False  # its answer would have to come without the body that all here have
+            self.keep_alive = False  # the answer has a body, which a client does not expect after HEAD
         if self.target.partition(b"?")[0] == b"/ready":
             ready = self.front.is_ready()
             self.answer(Reply(200, b"ready\n") if ready else Reply(503, b"not ready\n"))
@@ -354,78 +390,87 @@
         try:
             incoming = self.front.reader.read(method, self.target, self.headers, body)
             if incoming.id in self.front.driver.jobs:
-                raise BadRequest(409, "x-request-id is in use")
-        except BadRequest as exc:
+                raise BadRequestError(409, "x-request-id is in use")
+        except BadRequestError as exc:
             self.front.driver.ledger.rejected(self.headers.get(b"x-class", b"").decode("latin-1"))
-            self.keep = False  # who asks like this goes on like this, at full speed
+            self.keep_alive = False  # slows down a client that keeps sending bad requests
             self.answer(Reply(exc.status, f"{exc}\n".encode()))
             return
         self.request_id = incoming.id
-        if incoming.body is self.body:  # a long one, and the request's now
-            self.front.budget.keep(self, len(self.body))
+        if incoming.body is self.body:  # a long body, whose buffer now belongs to the request
+            self.front.budget.set_usage(self, len(self.body))
             self.body = bytearray()
         try:
-            self.front.driver.submit(incoming, self.came, self.final, self.gone)
-        except Exception:  # the program's own fault: an attempt may be out, so this is no refusal
+            self.front.driver.submit(incoming, self.last_arrival, self.final, self.has_disconnected)
+        except (
+            Exception
+        ):  # a bug: an attempt may have been sent, so the request has failed and is not refused
             log.exception(
-                "request %s",
+                "internal error while submitting request %s",
                 incoming.id,
                 extra={"event": "request.failed", "fields": {"request": incoming.id}},
             )
             if self.busy:
                 self.final(FAILED)
 
-    # ---- a long request ----
+    # ---- streamed requests ----
 
-    def coming(self) -> bool:
-        """Whether its request is kept and is not whole yet."""
+    def is_buffering(self) -> bool:
+        """Whether a request is being received and buffered."""
         return not self.busy and self.parser is not None and not self.closing
 
-    def go_early(self) -> None:
-        """Its request goes to the driver before it is whole, and is not kept any more."""
+    def start_upload(self) -> None:
+        """Submit the request before it is complete; from now on its body is forwarded, not buffered."""
         assert self.parser is not None
         self.busy = True
         length = self.headers.get(b"content-length")
         body, self.body = self.body, bytearray()
         upload = self.upload = Upload(body, int(length) if length is not None else None, self)
-        self.hold(True)  # until an upstream takes it
+        self.hold(True)  # until a connection to an upstream accepts it
         self._submit(self.parser.get_method(), upload)
 
-    def _feed(self, upload: Upload) -> None:
+    def _feed_upload(self, upload: Upload) -> None:
         if self.body:
             upload.feed(bytes(self.body))
             self.body.clear()
-        if self.whole:
-            self.whole, self.upload = False, None
+        if self.request_complete:
+            self.request_complete, self.upload = False, None
             upload.finish()
-            self.front.driver.whole(self.request_id, self.came)
+            self.front.driver.whole(self.request_id, self.last_arrival)
 
     def hold(self, wait: bool) -> None:
-        if self.transport is not None and self.held is not wait and not self.transport.is_closing():
-            self.held = wait
+        """Back-pressure: pause reading the body if `wait`, else resume."""
+        if self.transport is not None and self.reading_paused is not wait and not self.transport.is_closing():
+            self.reading_paused = wait
             if not wait and self.upload is not None:
-                self.front.budget.keep(self, 0)  # what it kept has gone out
+                self.front.budget.set_usage(self, 0)  # its buffer has been forwarded
             (self.transport.pause_reading if wait else self.transport.resume_reading)()
 
-    # ---- its answer ----
+    # ---- answers ----
 
     def final(self, final: Final) -> None:
+        """Send the driver's final answer."""
         if final.how is How.SERVED and final.answer.rest is not None:
             self._begin_long(final.answer)
         else:
-            self.answer(word(final))
+            self.answer(reply_to(final))
 
     def _keeps(self) -> bool:
-        if self.upload is not None:  # answered before its request was whole
-            self.keep, self.cut_short = False, True
-        # In a crowd a first answer ends its connection: many clients ask once and stay, and those that
-        # come back would find no room, nor a descriptor of their own to come with.
-        return self.keep and self.front.drain.keeping and (self.answers > 0 or not self.front.crowded())
+        if self.upload is not None:  # answered before its request was complete
+            self.keep_alive, self.answered_early = False, True
+        # When crowded, a connection is closed after its first answer: many clients send one request and
+        # stay connected, and would leave no connection or descriptor for returning clients.
+        return (
+            self.keep_alive
+            and self.front.drain.keeps_connections
+            and (self.answers > 0 or not self.front.is_crowded())
+        )
 
     def answer(self, reply: Reply) -> None:
+        """Send an answer, unless the client has disconnected."""
         if self.transport is None or not self.busy:
             return
-        if self.rest is not None:  # what follows would be taken for a part of the answer that has begun
+        if self.streamed_answer is not None:  # the client would read this as a part of the answer in progress
             self.front.driver.ledger.occurrences.violated(Invariant.WHOLE_ANSWER, self.request_id)
             self.cut()
             return
@@ -434,83 +479,85 @@
         self._answered(keep)
 
     def _begin_long(self, answer: Answer) -> None:
-        """As it comes, framed as the upstream framed it; where nobody told its length, in chunks."""
+        """Start a streamed answer: with the upstream's length, or in chunks where that is unknown."""
         if self.transport is None or not self.busy:
             return
         assert self.parser is not None
         self.chunked = answer.length is None and self.parser.get_http_version() != "1.0"
-        self.framed = self.chunked or answer.length is not None
-        self.keep = self._keeps() and self.framed
+        self.end_marked = self.chunked or answer.length is not None
+        self.keep_alive = self._keeps() and self.end_marked
         lines = [b"HTTP/1.1 200 OK", b"Content-Type: " + answer.content_type]
         if answer.length is not None:
             lines.append(b"Content-Length: %d" % answer.length)
         elif self.chunked:
             lines.append(b"Transfer-Encoding: chunked")
-        if not self.keep:
+        if not self.keep_alive:
             lines.append(b"Connection: close")
-        self.rest = answer.rest
+        self.streamed_answer = answer.rest
         self.transport.write(b"\r\n".join(lines) + b"\r\n\r\n")
-        answer.rest.flow_to(self)
+        answer.rest.stream_to(self)
         if answer.body:
-            self.piece(bytes(answer.body))
+            self.write_piece(bytes(answer.body))
 
-    def piece(self, data: bytes) -> None:
+    def write_piece(self, data: bytes) -> None:
+        """Send a piece of a streamed answer."""
         if self.transport is not None:
             self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.chunked else data)
 
     def end(self) -> None:
+        """Finish a streamed answer."""
         if self.transport is not None and self.busy:
             if self.chunked:
                 self.transport.write(b"0\r\n\r\n")
-            self._answered(self.keep)
+            self._answered(self.keep_alive)
 
     def cut(self) -> None:
-        """Its client sees the break: by the length, by the last chunk that is missing, else by a reset."""
-        self.rest, self.busy = None, False
-        if self.transport is not None and not self.framed:
+        """Abort the answer so that the client can tell: by its length, a missing last chunk, or a reset."""
+        self.streamed_answer, self.busy = None, False
+        if self.transport is not None and not self.end_marked:
             raw: Any = self.transport.get_extra_info("socket")
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close_by_us(CloseReason.ANSWER_CUT)
 
     def _answered(self, keep: bool) -> None:
         assert self.transport is not None
-        self.busy, self.began, self.request_id, self.fed = False, 0, "", 0
-        self.rest = self.upload = None
-        if self.held:
+        self.busy, self.request_began, self.request_id, self.fed = False, 0, "", 0
+        self.streamed_answer = self.upload = None
+        if self.reading_paused:
             self.hold(False)
         if self.size > MAX_BODY:
-            self.front.budget.keep(self, 0)
+            self.front.budget.set_usage(self, 0)
         self.front.served += not self.answers
         self.since, self.answers = self.front.loop.time(), self.answers + 1
         if not keep:
             self.closing = True
-            if self.cut_short:
-                # Closed outright, what the client still sends would be met by a reset, which can
-                # take the answer with it: read on until it closes, or for LINGER at the most.
+            if self.answered_early:
+                # After a full close, further input would cause a reset, by which the client can lose
+                # the answer: read on until it closes, for at most LINGER_TIMEOUT.
                 self.transport.write_eof()
             else:
                 self.transport.close()
 
     def refuse_unfinished(self) -> None:
-        """Answer a request that has begun to come, is not whole and has gone nowhere, and close.
+        """Refuse a request that has been received in part and not been submitted, and close.
 
-        Closed unanswered, its last byte might have arrived in that moment, and the request would be lost.
+        Without an answer, a request whose last byte arrives at this moment would be lost silently.
         """
-        if self.began and not self.busy and not self.closing:
+        if self.request_began and not self.busy and not self.closing:
             self._reject(503, "refused: try again", CloseReason.UNFINISHED)
 
     def _reject(self, status: int, text: str, reason: CloseReason = CloseReason.REJECTED) -> None:
-        """Answer what is no single sound request, and close.
+        """Answer input that is not a single valid request, and close.
 
-        Protects against serving one request of several that came together, or one with unreadable
-        bytes behind it: nobody can tell what such a client takes for the answer to what. One that is
-        with the driver already is given up, and may have run. Where its answer has begun the rejection would
-        be read as a part of it: the answer is cut.
+        Protects against serving one of several pipelined requests, or one that is followed by invalid
+        bytes: there is no telling which request such a client would match the answer to. A request that
+        has been submitted is abandoned, and may have run. During a streamed answer the rejection would
+        be read as a part of it, so that answer is aborted instead.
         """
-        self.keep, self.whole, self.cut_short = False, False, True
+        self.keep_alive, self.request_complete, self.answered_early = False, False, True
         if self.busy:
             self.front.driver.client_gone(self.request_id)
-        if self.rest is not None:
+        if self.streamed_answer is not None:
             self.cut()
             return
         self.front.driver.ledger.occurrences.closed[reason] += 1
--- a/dykeshift/engine/terms.py
+++ b/dykeshift/engine/terms.py
@@ -1,4 +1,4 @@
-"""What fronts, driver and carriers say to one another about a request, in no protocol's words."""
+"""Types that frontends, driver and carriers exchange about a request, independent of the protocol."""
 
 from __future__ import annotations
 
@@ -10,29 +10,32 @@
 
 
 class How(Enum):
+    """How a request ended."""
+
     SERVED = auto()
-    REFUSED = auto()  # not done, and trying again is harmless
-    FAILED = auto()  # it may have had its effect
-    LATE = auto()  # no answer in time: it may have had its effect, or may yet
+    REFUSED = auto()  # not executed, so that a retry is safe
+    FAILED = auto()  # it may have been executed
+    LATE = auto()  # no answer in time: it may have been executed, or may still be
 
 
-class Brought(Protocol):
-    """An upstream's answer as every front can hand it on."""
+class UpstreamAnswer(Protocol):
+    """An upstream's answer, in the form that every frontend can pass on."""
 
     @property
     def content_type(self) -> bytes:
         """A media type (RFC 9110, section 8.3)."""
 
     @property
-    def body(self) -> Bytes: ...
+    def body(self) -> Bytes:
+        """The body, or its beginning if `rest` is set."""
 
     @property
     def rest(self) -> Any:
-        """A `bodies.Rest` where `body` is but the beginning; else None."""
+        """A `bodies.BodyStream` if `body` is only the beginning; else None."""
 
     @property
     def length(self) -> int | None:
-        """Bytes of the whole body, where there is a rest and they were told."""
+        """Bytes of the whole body, if `rest` is set and the length is known."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,19 +43,19 @@
     """A final answer."""
 
     how: How
-    answer: Any = None  # where it is served: what the carrier brought, a `Brought`
-    retry_after: int = 0  # nanoseconds, where it is refused; 0: not said
+    answer: Any = None  # an `UpstreamAnswer` if SERVED
+    retry_after: int = 0  # nanoseconds, if REFUSED; 0: not given
 
 
 FAILED, LATE = Final(How.FAILED), Final(How.LATE)
 
 
 class Asked(Protocol):
-    """What a front submits."""
+    """A request as a frontend submits it to the driver."""
 
     @property
     def id(self) -> str:
-        """New with every request."""
+        """Unique for each request."""
 
     @property
     def klass(self) -> int:
@@ -60,27 +63,27 @@
 
     @property
     def patience(self) -> int:
-        """Nanoseconds that its client waits, from its arrival."""
+        """The client's timeout in nanoseconds, from the request's arrival."""
 
     @property
     def cost_hint(self) -> int:
-        """Expected work in nanoseconds; 0: not told."""
+        """Expected work in nanoseconds; 0: unknown."""
 
     @property
     def retry(self) -> bool:
-        """Whether its client marks it as a repeat."""
+        """Whether its client marked it as a retry."""
 
     @property
     def body(self) -> Any:
-        """What is to be done, without any protocol's wrapping: bytes, or an `Upload` still to come."""
+        """The payload without protocol framing: bytes, or an `Upload` that is still being received."""
 
     @property
     def early(self) -> bool:
-        """Whether its body is still coming and is not kept: it can be sent only once."""
+        """Whether its body is still being received and not buffered, so that it can be sent only once."""
 
     @property
     def streams(self) -> bool:
-        """Whether its front can pass on an answer that is not whole yet."""
+        """Whether its frontend can stream an answer that is not complete yet."""
 
     def message(self, left: int) -> Message:
-        """The same as an HTTP/1.1 request to an upstream that may take so many nanoseconds."""
+        """The message for an upstream; `left`: nanoseconds left until the deadline."""
--- a/tests/node/messages.py
+++ b/tests/node/messages.py
@@ -1,4 +1,4 @@
-"""What the tests' clients, upstreams and discovery write and read: requests, answers, lists."""
+"""Messages that the tests' clients, upstreams and discovery exchange: requests, answers, lists."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 
 async def read_frame(reader: asyncio.StreamReader) -> Message:
-    block = await reader.readuntil(b"\x1c\r")
-    return Message("", {}, block.partition(b"\x0b")[2][:-2])
+    frame = await reader.readuntil(b"\x1c\r")
+    return Message("", {}, frame.partition(b"\x0b")[2][:-2])
 
 
 def answer(body: bytes = b"done", status: str = "200 OK", **headers: str) -> bytes:
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -1,4 +1,4 @@
-"""Servers of the tests' own on loopback, port 0: an upstream, a discovery, and the balancer between them."""
+"""Test servers on loopback, on free ports: upstreams, a discovery service, and the balancer itself."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from dykeshift.engine.server import Front
 from tests.node.messages import Message, answer, instance, listing, read_frame, read_message
 
-PATIENCE = 30.0  # seconds: only a test that has failed waits for so long
+PATIENCE = 30.0  # seconds until a test fails by timeout
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
@@ -27,6 +27,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
+    """Wait until the condition holds."""
     while not condition():
         await asyncio.sleep(0.002)
 
@@ -35,7 +36,7 @@
 
 
 def says(data: bytes, close: bool = False) -> Handler:
-    """Answers each request with these bytes."""
+    """A handler that answers each request with these bytes."""
 
     async def handle(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
@@ -46,22 +47,23 @@
 
 
 async def silent(_: Stub, __: Message, ___: asyncio.StreamWriter) -> None:
-    """Takes a request and answers nothing."""
+    """A handler that never answers."""
 
 
 async def resets(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
+    """A handler that resets the connection."""
     writer.transport.abort()
 
 
 @dataclass
 class Stub:
-    """An upstream that does as its handler says, and remembers what it saw."""
+    """An upstream that calls its handler for each request and records the requests."""
 
     handler: Handler
     seen: list[Message] = field(default_factory=list)
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
-    lost: int = 0
-    mllp: bool = False  # it speaks MLLP; a message's `body` is what came in its frame
+    lost: int = 0  # connections that have ended
+    mllp: bool = False  # whether it speaks MLLP; a message's `body` is then the content of its frame
     address: tuple[str, int] = ("", 0)
     server: asyncio.Server | None = None
 
@@ -83,7 +85,7 @@
 
 @dataclass
 class Registry:
-    """Discovery: hands out what is put into `replies`, one a call, and holds calls while there is none."""
+    """A discovery service: answers each call with the next of `replies`, waiting for one if there is none."""
 
     replies: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
     paths: list[str] = field(default_factory=list)
@@ -166,6 +168,8 @@
 
 @dataclass
 class Node:
+    """A running balancer."""
+
     front: Front
     registry: Registry
     address: tuple[str, int]
@@ -174,7 +178,7 @@
     services: list[Any]
 
     def move(self, registry: Registry) -> None:
-        """What SIGHUP does when the file names another discovery."""
+        """Reload with another discovery address, as on SIGHUP after the file has changed."""
         self.given = replace(self.given, discovery=registry.address)
         self.reload()
 
@@ -186,7 +190,7 @@
 
 
 async def ask_once(address: tuple[str, int], request: bytes) -> Message:
-    """One request on a connection of its own."""
+    """Send one request on a new connection."""
     caller = await Caller.to(address)
     try:
         return await caller.ask(request)
@@ -203,7 +207,7 @@
 
     @classmethod
     async def to(cls, address: tuple[str, int]) -> Caller:
-        """A new connection."""
+        """Open a new connection."""
         return cls(*await asyncio.open_connection(*address))
 
     async def ask(self, request: bytes) -> Message:
@@ -213,7 +217,7 @@
 
 @asynccontextmanager
 async def node(*upstreams: Stub, beside: Features = NONE, **changes: Any) -> AsyncIterator[Node]:
-    """The whole balancer in this process, knowing these upstreams by the names s0, s1, ..."""
+    """Run the whole balancer in this process, with these upstreams listed as s0, s1, ..."""
     registry = await Registry().start()
     known = listing(1, True, *(instance(f"s{n}", u.address) for n, u in enumerate(upstreams)))
     given = config.parse({**configuration(registry.address, known), **changes}, beside.peering())
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -1,4 +1,4 @@
-"""Long and slow bodies through the whole balancer: whole ones whole, cut ones seen cut, none sent twice."""
+"""Long and slow bodies: passed on completely, truncation is visible to the client, none is sent twice."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def read_chunks(reader: asyncio.StreamReader) -> bytes:
-    """A body in chunks, from behind its head on."""
+    """Read a chunked body, after its head."""
     body = b""
     while size := int(await reader.readline(), 16):
         body += (await reader.readexactly(size + 2))[:-2]
@@ -37,7 +37,7 @@
 
 
 async def read_any(reader: asyncio.StreamReader) -> Message:
-    """By its length, its chunks, or the end of its connection."""
+    """Read a message with a length, in chunks, or up to the end of its connection."""
     lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines[1:] if line)}
     if headers.get("transfer-encoding") == "chunked":
@@ -62,7 +62,7 @@
     ],
 )
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_an_answer_of_any_framing_comes_whole(sent: bytes, version: str) -> None:
+def test_an_answer_of_any_framing_is_passed_on_completely(sent: bytes, version: str) -> None:
     async def main() -> None:
         stub = await Stub(says(sent, close=b"Content-Length" not in sent and b"chunked" not in sent)).start()
         async with node(stub) as balancer:
@@ -78,8 +78,8 @@
     run(main())
 
 
-def test_a_short_answer_without_a_length_is_no_long_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It comes with a length of its own, and on a connection that is kept."""
+def test_a_short_answer_without_a_length_is_not_streamed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It is buffered, so that it gets a length and its connection stays open."""
 
     async def main() -> None:
         stub = await Stub(says(CHUNKED + chunks(b"x" * 9000, 100) + b"0\r\n\r\n")).start()
@@ -90,7 +90,7 @@
     run(main())
 
 
-def test_a_long_answer_is_passed_on_while_it_comes_and_waits_for_its_reader() -> None:
+def test_a_long_answer_is_streamed_with_back_pressure_from_the_client() -> None:
     async def main() -> None:
         written, go_on = 0, asyncio.Event()
 
@@ -112,9 +112,9 @@
             head = await caller.reader.readuntil(b"first")
             assert b"200 OK" in head and not go_on.is_set()
             go_on.set()
-            [client] = [c for c in balancer.front.clients if c.rest is not None]
-            await until(client.unread_answer)
-            assert written < 39  # the rest waits at the upstream, not here
+            [client] = [c for c in balancer.front.clients if c.streamed_answer is not None]
+            await until(client.has_unsent_output)
+            assert written < 39  # the rest waits at the upstream and is not buffered here
             body = b"first" + await caller.reader.readexactly(40 * len(BODY) - 5)
             assert body == b"first" + BODY[5:] + 39 * BODY
             await until(lambda: not balancer.front.driver.jobs)
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 2000000", b"Transfer-Encoding: chunked", b"X: none"])
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
-def test_a_cut_answer_never_ends_tidily(framing: bytes, version: bytes) -> None:
+def test_a_truncated_answer_never_looks_complete(framing: bytes, version: bytes) -> None:
     async def main() -> None:
         async def cut(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
             begun = b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n"
@@ -142,22 +142,22 @@
             caller = await balancer.open()
             caller.writer.write(request("check").replace(b"HTTP/1.1", b"HTTP/" + version))
             head = await caller.reader.readuntil(b"\r\n\r\n")
-            told, tidy, rest = b"Content-Length" in head or b"chunked" in head, True, b""
+            end_marked, closed_cleanly, rest = b"Content-Length" in head or b"chunked" in head, True, b""
             seen.set()
             try:
                 rest = await caller.reader.read()
             except ConnectionError:
-                tidy = False
-            if told:
+                closed_cleanly = False
+            if end_marked:
                 assert len(rest) < 2_000_000 and not rest.endswith(b"0\r\n\r\n")
             elif version == b"1.0" and b"chunked" in framing:
-                assert not tidy  # a reset is all that tells
+                assert not closed_cleanly  # only a reset shows the truncation
             await until(lambda: not balancer.front.driver.jobs)
 
     run(main())
 
 
-def test_a_client_that_leaves_a_long_answer_gives_its_upstream_up() -> None:
+def test_a_client_that_disconnects_during_a_long_answer_closes_the_upstream_connection() -> None:
     async def main() -> None:
         async def endless(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n")
@@ -178,11 +178,11 @@
     run(main())
 
 
-def test_a_long_answer_calls_its_rival_off_and_no_deadline_cuts_it() -> None:
+def test_a_long_answer_cancels_the_other_attempt_and_is_not_cut_by_the_deadline() -> None:
     async def main() -> None:
         async def first_byte(stub: Stub, _: Message, writer: asyncio.StreamWriter) -> None:
             if len(stubs[0].seen) + len(stubs[1].seen) == 1:
-                return  # the first of the two is silent
+                return  # the first attempt gets no answer
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY) + BODY[:9])
             await until(lambda: sum(s.lost for s in stubs) == 1)
             await expired.wait()
@@ -196,7 +196,7 @@
             head = await caller.reader.readuntil(BODY[:9])
             assert b"200 OK" in head
             [job] = balancer.front.driver.jobs.values()
-            balancer.front.driver._expire(job)  # its time is over
+            balancer.front.driver._expire(job)  # its deadline passes
             expired.set()
             assert await caller.reader.readexactly(len(BODY) - 9) == BODY[9:]
 
@@ -206,8 +206,8 @@
 # ---- long requests ----
 
 
-def test_a_long_answer_that_has_begun_is_not_cut_at_its_aim() -> None:
-    """Where nothing is earned after the aim an attempt is called off then: its rest was still coming."""
+def test_a_long_answer_that_has_begun_is_not_cut_at_the_aim() -> None:
+    """With a late share of 0, attempts are cancelled at the aim, which also cut answers being streamed."""
 
     async def main() -> None:
         given = settings(services=[service("send", "side_effect", goalTimeNs=150_000_000, lateShare=0.0)])
@@ -226,7 +226,7 @@
             start = await caller.reader.readexactly(1000)
             (job,) = balancer.front.driver.jobs.values()
             aim = job.sent[0] / 1e9 + 0.15
-            loop.call_at(aim + 0.05, over.set)  # behind the timer of the aim, on the same clock
+            loop.call_at(aim + 0.05, over.set)  # after the timer of the aim, on the same clock
             rest = await caller.reader.readuntil(BODY[-256:])
             while len(start) + len(rest) < len(BODY):
                 rest += await caller.reader.readuntil(BODY[-256:])
@@ -243,15 +243,15 @@
     return head + chunks(body, 50_000) + b"0\r\n\r\n"
 
 
-class Reads:
-    """An upstream that reads bodies of any framing, and answers as told."""
+class BodyReader:
+    """An upstream that reads bodies of any framing and calls `act` for each request."""
 
     def __init__(self, act: Callable[[Message, asyncio.StreamWriter], None]) -> None:
         self.act, self.seen, self.heads = act, list[Message](), 0
         self.address: Any = None
         self.line = b""
 
-    async def start(self) -> Reads:
+    async def start(self) -> BodyReader:
         listener = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.address = listener.sockets[0].getsockname()
         return self
@@ -259,12 +259,12 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
-                await self.heard(reader)
+                await self.read_start(reader)
                 self.seen.append(await self.read(reader))
                 self.act(self.seen[-1], writer)
         writer.close()
 
-    async def heard(self, reader: asyncio.StreamReader) -> None:
+    async def read_start(self, reader: asyncio.StreamReader) -> None:
         self.line = await reader.readuntil(b"\r\n")
         self.heads += 1
 
@@ -276,7 +276,7 @@
     writer.write(answer(b"done"))
 
 
-async def sent_in_halves(balancer: Node, whole: bytes, between: Callable[[], bool]) -> Caller:
+async def send_in_halves(balancer: Node, whole: bytes, between: Callable[[], bool]) -> Caller:
     caller = await balancer.open()
     caller.writer.write(whole[: len(whole) // 2])
     await until(between)
@@ -285,18 +285,18 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_long_request_is_kept_until_it_is_whole_and_can_be_tried_again(chunked: bool) -> None:
+def test_a_long_request_is_buffered_until_complete_and_can_be_retried(chunked: bool) -> None:
     async def main() -> None:
         def refuse_once(message: Message, writer: asyncio.StreamWriter) -> None:
             first = len(stubs[0].seen) + len(stubs[1].seen) == 1
             writer.write(answer(b"", "503 Full", X_Not_Run="1") if first else answer(b"done"))
 
-        stubs = [await Reads(refuse_once).start() for _ in range(2)]
+        stubs = [await BodyReader(refuse_once).start() for _ in range(2)]
         async with node(*stubs) as balancer:  # type: ignore[arg-type]
-            caller = await sent_in_halves(
+            caller = await send_in_halves(
                 balancer, long_request(BODY, chunked), lambda: balancer.front.budget.total > 400_000
             )
-            assert stubs[0].heads == stubs[1].heads == 0  # nobody chooses before its last byte has come
+            assert stubs[0].heads == stubs[1].heads == 0  # no upstream is chosen before its last byte arrives
             assert (await read_message(caller.reader)).body == b"done"
             assert [m.body == BODY for s in stubs for m in s.seen] == [True, True]
             assert balancer.front.budget.total == 0
@@ -305,23 +305,23 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_over_the_budget_it_goes_out_early_and_comes_whole(chunked: bool) -> None:
+def test_over_the_budget_a_request_is_streamed_completely(chunked: bool) -> None:
     async def main() -> None:
-        stub = await Reads(serve).start()
+        stub = await BodyReader(serve).start()
         async with node(stub) as balancer:  # type: ignore[arg-type]
             balancer.front.budget.limit = 100_000
-            caller = await sent_in_halves(balancer, long_request(BODY, chunked), lambda: stub.heads == 1)
+            caller = await send_in_halves(balancer, long_request(BODY, chunked), lambda: stub.heads == 1)
             assert (await read_message(caller.reader)).body == b"done"
             assert [m.body == BODY for m in stub.seen] == [True] and balancer.front.budget.total == 0
             got = await caller.ask(request("check", rid="r2"))
-            assert got.body == b"done"  # its connection goes on
+            assert got.body == b"done"  # its connection stays usable
 
     run(main())
 
 
-def test_what_went_out_early_and_broke_is_refused_and_not_sent_again() -> None:
+def test_a_streamed_request_that_broke_before_its_end_is_refused_and_not_retried() -> None:
     async def main() -> None:
-        class Breaks(Reads):
+        class Breaks(BodyReader):
             async def read(self, reader: asyncio.StreamReader) -> Message:
                 await reader.readuntil(b"\r\n\r\n")
                 raise ConnectionError
@@ -333,18 +333,18 @@
             whole = long_request(BODY, False)
             caller.writer.write(whole[: len(whole) // 2])
             got = await read_message(caller.reader)
-            assert "503" in got.start and got.headers["connection"] == "close"  # it can't have run
+            assert "503" in got.start and got.headers["connection"] == "close"  # it cannot have been executed
             assert sum(s.heads for s in stubs) == 1 and balancer.front.budget.total == 0
 
     run(main())
 
 
-def test_what_went_out_early_and_whole_and_broke_has_failed() -> None:
+def test_a_streamed_request_that_was_sent_completely_and_broke_fails() -> None:
     async def main() -> None:
-        stubs = [await Reads(lambda _, writer: writer.transport.abort()).start() for _ in range(3)]
+        stubs = [await BodyReader(lambda _, writer: writer.transport.abort()).start() for _ in range(3)]
         async with node(*stubs) as balancer:  # type: ignore[arg-type]
             balancer.front.budget.limit = 100_000
-            caller = await sent_in_halves(
+            caller = await send_in_halves(
                 balancer, long_request(BODY, False, "set"), lambda: sum(s.heads for s in stubs) == 1
             )
             got = await read_message(caller.reader)
@@ -353,13 +353,13 @@
     run(main())
 
 
-def test_a_requests_time_counts_from_its_last_byte_also_when_it_went_out_early() -> None:
+def test_the_deadline_of_a_streamed_request_counts_from_its_last_byte() -> None:
     async def main() -> None:
-        stub = await Reads(lambda _, __: None).start()
+        stub = await BodyReader(lambda _, __: None).start()
         async with node(stub) as balancer:  # type: ignore[arg-type]
             balancer.front.budget.limit = 100_000
             jobs = balancer.front.driver.jobs
-            caller = await sent_in_halves(balancer, long_request(BODY, False), lambda: bool(jobs))
+            caller = await send_in_halves(balancer, long_request(BODY, False), lambda: bool(jobs))
             await until(lambda: len(stub.seen) == 1)
             [job] = jobs.values()
             now = balancer.front.clock.monotonic_ns()
@@ -369,34 +369,38 @@
     run(main())
 
 
-def test_slow_is_who_makes_no_progress(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A head has FIRST, a body so much for so many bytes."""
-    monkeypatch.setattr(server, "FIRST", 0.15)
-    monkeypatch.setattr(server, "SLOW", 0.15)
+def test_the_time_limit_of_a_body_grows_with_its_size(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A head has HEAD_TIMEOUT, a request REQUEST_TIMEOUT and the time of its body at MIN_BODY_RATE."""
+    monkeypatch.setattr(server, "HEAD_TIMEOUT", 0.15)
+    monkeypatch.setattr(server, "REQUEST_TIMEOUT", 0.15)
 
     async def main() -> None:
         stub = await Stub(says(answer(b"done"))).start()
         async with node(stub) as balancer:
-            brisk, idle = await balancer.open(), await balancer.open()
+            steady, idle = await balancer.open(), await balancer.open()
             idle.writer.write(request(body=b"x" * 1000)[:-500])
             body = b"x" * 60_000
-            whole = request("send", rid="brisk", body=body)
-            brisk.writer.write(whole[:-30_000])
-            assert "408" in (await read_message(idle.reader)).start  # SLOW, and a little for its 500 bytes
-            brisk.writer.write(whole[-30_000:])  # is let have a second for its 30,000
-            assert (await read_message(brisk.reader)).body == b"done"
+            whole = request("send", rid="steady", body=body)
+            steady.writer.write(whole[:-30_000])
+            assert (
+                "408" in (await read_message(idle.reader)).start
+            )  # REQUEST_TIMEOUT, and 15 ms for its 500 bytes
+            steady.writer.write(whole[-30_000:])  # allowed about a second more for its 30,000 bytes
+            assert (await read_message(steady.reader)).body == b"done"
 
     run(main())
 
 
-def test_an_answer_is_committed_to_by_what_has_come_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "HOLDBACK", 1000.0)
+def test_an_answer_of_unknown_length_is_streamed_from_a_certain_size_on(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(connection, "COMMIT_DELAY", 1000.0)
 
     async def main() -> None:
         more = asyncio.Event()
 
         async def handle(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
-            writer.write(CHUNKED + chunks(b"x" * connection.PLENTY, 4096))
+            writer.write(CHUNKED + chunks(b"x" * connection.COMMIT_SIZE, 4096))
             await more.wait()
             writer.write(b"0\r\n\r\n")
 
@@ -404,22 +408,22 @@
         async with node(stub) as balancer:
             caller = await balancer.open()
             caller.writer.write(request("check"))
-            assert b"chunked" in await caller.reader.readuntil(b"\r\n\r\n")  # though it is not whole
+            assert b"chunked" in await caller.reader.readuntil(b"\r\n\r\n")  # though it is not complete
             more.set()
 
     run(main())
 
 
-HOLDERS = st.lists(st.tuples(st.integers(0, 4), st.integers(0, 500)), max_size=60)
+CHANGES = st.lists(st.tuples(st.integers(0, 4), st.integers(0, 500)), max_size=60)
 
 
-@given(HOLDERS)
-def test_the_budget_adds_up_and_names_the_largest_that_can_move(steps: list[tuple[int, int]]) -> None:
+@given(CHANGES)
+def test_the_budget_adds_up_and_finds_the_largest_that_can_be_released(steps: list[tuple[int, int]]) -> None:
     budget, held = Budget[int](1000), dict[int, int]()
     for holder, size in steps:
-        budget.keep(holder, size)
+        budget.set_usage(holder, size)
         held[holder] = size
-        assert budget.total == sum(held.values()) and budget.over == (budget.total > 1000)
+        assert budget.total == sum(held.values()) and budget.exceeded == (budget.total > 1000)
         able = {h: s for h, s in held.items() if s and h != 3}
         found = budget.largest(lambda h: h != 3)
         assert (found is None) == (not able)
--- a/tests/node/test_body_defects.py
+++ b/tests/node/test_body_defects.py
@@ -1,4 +1,4 @@
-"""Defects of long bodies, each caught by a test of test_bodies.py."""
+"""Injected defects in the handling of long bodies, each detected by a test of test_bodies.py."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from dykeshift.engine import server, upstream
 from dykeshift.engine.requests import Incoming
 from dykeshift.engine.server import Client
-from tests.node import test_bodies as held
+from tests.node import test_bodies
 
 
-def _cut_tidily() -> tuple[Any, str, Any]:
+def _truncated_as_if_complete() -> tuple[Any, str, Any]:
     return Client, "cut", Client.end
 
 
-def _sent_again() -> tuple[Any, str, Any]:
-    """What has been let go of counts as kept: it may be tried as often as any."""
+def _streamed_request_retried() -> tuple[Any, str, Any]:
+    """A streamed body counts as buffered, so that the request may be retried."""
     return Incoming, "early", False
 
 
-def _unwritten_may_have_run() -> tuple[Any, str, Any]:
+def _incomplete_request_may_have_run() -> tuple[Any, str, Any]:
     def broken(self: upstream.Attempt, written: bool) -> None:
         original(self, True)
 
@@ -30,20 +30,32 @@
     return upstream.Attempt, "broken", broken
 
 
-def _over_the_budget() -> tuple[Any, str, Any]:
-    return server.Front, "make_room", lambda self: None
+def _budget_not_enforced() -> tuple[Any, str, Any]:
+    return server.Front, "relieve_budget", lambda self: None
 
 
 @pytest.mark.parametrize(
     ("defect", "test", "arguments"),
     [
-        (_cut_tidily, held.test_a_cut_answer_never_ends_tidily, (b"Transfer-Encoding: chunked", b"1.1")),
-        (_sent_again, held.test_what_went_out_early_and_broke_is_refused_and_not_sent_again, ()),
-        (_unwritten_may_have_run, held.test_what_went_out_early_and_broke_is_refused_and_not_sent_again, ()),
-        (_over_the_budget, held.test_over_the_budget_it_goes_out_early_and_comes_whole, (False,)),
+        (
+            _truncated_as_if_complete,
+            test_bodies.test_a_truncated_answer_never_looks_complete,
+            (b"Transfer-Encoding: chunked", b"1.1"),
+        ),
+        (
+            _streamed_request_retried,
+            test_bodies.test_a_streamed_request_that_broke_before_its_end_is_refused_and_not_retried,
+            (),
+        ),
+        (
+            _incomplete_request_may_have_run,
+            test_bodies.test_a_streamed_request_that_broke_before_its_end_is_refused_and_not_retried,
+            (),
+        ),
+        (_budget_not_enforced, test_bodies.test_over_the_budget_a_request_is_streamed_completely, (False,)),
     ],
 )
-def test_a_defect_is_seen(
+def test_a_defect_is_detected(
     defect: Callable[[], tuple[Any, str, Any]],
     test: Callable[..., None],
     arguments: tuple[Any, ...],
--- a/tests/node/test_crowded.py
+++ b/tests/node/test_crowded.py
@@ -1,4 +1,4 @@
-"""Idle clients hold every descriptor that they can get while discovery is down: it is heard on its return."""
+"""Idle clients use up file descriptors while discovery is down; it must still be reached when it is back."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def server(address: Address, answers: Callable[[str], bytes]) -> ThreadingHTTPServer:
-    """Answers each request with what is said to its target, in a thread of its own."""
+    """An HTTP server in a thread; `answers` returns the body for a request's target."""
 
     class Handler(BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
@@ -40,37 +40,37 @@
                 self.wfile.write(body)
 
         def log_message(self, format: str, *args: object) -> None:
-            """Nothing is said of each request."""
+            """Log nothing."""
 
     for method in ("GET", "POST"):
-        setattr(Handler, f"do_{method}", Handler.answer)  # as http.server looks them up
+        setattr(Handler, f"do_{method}", Handler.answer)  # the names that http.server calls
     ThreadingHTTPServer.allow_reuse_address = True
-    made = ThreadingHTTPServer(address, Handler)
-    made.daemon_threads = True
-    threading.Thread(target=made.serve_forever, daemon=True).start()
-    return made
+    http_server = ThreadingHTTPServer(address, Handler)
+    http_server.daemon_threads = True
+    threading.Thread(target=http_server.serve_forever, daemon=True).start()
+    return http_server
 
 
-def free() -> Address:
+def free_address() -> Address:
     with socket.create_server(("127.0.0.1", 0)) as one:
         found: Address = one.getsockname()
         return found
 
 
 class Crowd:
-    """Three times as many connections as there are descriptors; those that are closed come again at once."""
+    """Idle clients: three times as many as there are descriptors, reconnecting at once when closed."""
 
     def __init__(self, address: Address) -> None:
         self.address, self.stopped = address, threading.Event()
-        self.turned_away = threading.Event()  # so many that the balancer had to let some go
-        self.threads = [threading.Thread(target=self.stay, daemon=True) for _ in range(3 * FEW)]
+        self.turned_away = threading.Event()  # set once the balancer has closed a connection
+        self.threads = [threading.Thread(target=self.connect, daemon=True) for _ in range(3 * FEW)]
         for thread in self.threads:
             thread.start()
 
-    def stay(self) -> None:
+    def connect(self) -> None:
         while not self.stopped.is_set():
             with suppress(OSError), socket.create_connection(self.address, timeout=0.5) as one:
-                if one.recv(1) == b"":  # or half a second with nothing, and anew
+                if one.recv(1) == b"":  # else a timeout after 0.5 s: reconnect
                     self.turned_away.set()
 
     def end(self) -> None:
@@ -79,11 +79,11 @@
             thread.join()
 
 
-def asked(address: Address, words: bytes) -> bytes:
-    """The answer, from a balancer that may let this connection go for another."""
+def ask(address: Address, data: bytes) -> bytes:
+    """Send a request until it is answered: the balancer may close this connection for another."""
     while True:
         with suppress(OSError), socket.create_connection(address, timeout=30) as one:
-            one.sendall(words)
+            one.sendall(data)
             if found := one.recv(4096):
                 return found
 
@@ -91,12 +91,12 @@
 READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class Told:
-    """A discovery with one list and nothing new; it is up while this is entered."""
+class Discovery:
+    """A discovery service with one list and no changes; it runs while this context is entered."""
 
     def __init__(self, *rows: dict[str, Any], generation: int = 2) -> None:
         self.rows, self.generation = rows, generation
-        self.address = free()
+        self.address = free_address()
         self.never = threading.Event()
 
     def answers(self, target: str) -> bytes:
@@ -106,7 +106,7 @@
             return json.dumps(listing(self.generation, False)).encode()
         return json.dumps(listing(self.generation, True, *self.rows)).encode()
 
-    def __enter__(self) -> Told:
+    def __enter__(self) -> Discovery:
         self.server = server(self.address, self.answers)
         return self
 
@@ -114,24 +114,24 @@
         self.server.shutdown()
 
 
-def configured(way: str, discovery: Address, **changes: Any) -> dict[str, Any]:
-    given = {**configuration(discovery), "listen": "%s:%d" % free(), **changes}
+def configured(mode: str, discovery: Address, **changes: Any) -> dict[str, Any]:
+    given = {**configuration(discovery), "listen": "%s:%d" % free_address(), **changes}
     given["limits"] = {"sockets": FEW, "memory_mb": 64}
-    given["settings"]["discovery"] = way
-    given["settings"]["bounds"]["keepaliveNs"] = 3600_000_000_000  # what rests, stays
+    given["settings"]["discovery"] = mode
+    given["settings"]["bounds"]["keepaliveNs"] = 3600_000_000_000  # idle connections stay open
     return given
 
 
 @contextmanager
-def crowded(folder: Path, given: dict[str, Any], words: list[bytes]) -> Iterator[subprocess.Popen[bytes]]:
-    """A daemon that has answered these, while idle clients hold what they can get."""
+def crowded(folder: Path, given: dict[str, Any], requests: list[bytes]) -> Iterator[subprocess.Popen[bytes]]:
+    """A daemon that has answered these requests and whose descriptors idle clients use up."""
     address = address_of(given)
     daemon, crowd = with_few_descriptors(folder, given), None
     try:
-        ready = asked(address, READY)
-        assert given.get("known") or b"503" in ready  # nothing is known yet
-        for one in words:
-            asked(address, one)
+        ready = ask(address, READY)
+        assert given.get("known") or b"503" in ready  # without a list of upstreams
+        for one in requests:
+            ask(address, one)
         crowd = Crowd(address)
         crowd.turned_away.wait()
         yield daemon
@@ -147,8 +147,8 @@
     return host, int(port)
 
 
-def until_ready(daemon: subprocess.Popen[bytes], given: dict[str, Any], words: bytes) -> None:
-    while b"200 OK" not in asked(address_of(given), words):
+def until_ready(daemon: subprocess.Popen[bytes], given: dict[str, Any], data: bytes) -> None:
+    while b"200 OK" not in ask(address_of(given), data):
         assert daemon.poll() is None
 
 
@@ -161,51 +161,53 @@
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="limits descriptors")
-@pytest.mark.parametrize("way", ["ask", "push"])
-def test_discovery_is_heard_when_it_is_back_however_many_clients_are_idle(tmp_path: Path, way: str) -> None:
+@pytest.mark.parametrize("mode", ["ask", "push"])
+def test_discovery_is_reached_when_it_is_back_however_many_clients_are_idle(
+    tmp_path: Path, mode: str
+) -> None:
     servers = upstreams(1)
-    back = Told(*rows_of(servers))
-    given = configured(way, back.address)
+    back = Discovery(*rows_of(servers))
+    given = configured(mode, back.address)
     with crowded(tmp_path, given, []) as daemon, back:
         until_ready(daemon, given, READY)
-        assert b"200 OK" in asked(address_of(given), request(rid="r1"))
+        assert b"200 OK" in ask(address_of(given), request(rid="r1"))
     servers[0].shutdown()
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="limits descriptors")
-@pytest.mark.parametrize("way", ["ask", "push"])
-def test_a_new_discovery_is_heard_however_many_clients_are_idle(tmp_path: Path, way: str) -> None:
-    """The watch on the one before goes on until then, and needs its descriptor, too."""
+@pytest.mark.parametrize("mode", ["ask", "push"])
+def test_a_new_discovery_is_reached_however_many_clients_are_idle(tmp_path: Path, mode: str) -> None:
+    """The watch on the previous one continues until then, and also needs a descriptor."""
     servers = upstreams(1)
-    before, after = Told(), Told(*rows_of(servers))
-    given = configured(way, before.address)
+    before, after = Discovery(), Discovery(*rows_of(servers))
+    given = configured(mode, before.address)
     with before, crowded(tmp_path, given, []) as daemon:
         moved = {**given, "discovery": "%s:%d" % after.address}
         (tmp_path / "config.json").write_text(json.dumps(moved))
         daemon.send_signal(signal.SIGHUP)
         with after:
             until_ready(daemon, given, READY)
-            assert b"200 OK" in asked(address_of(given), request(rid="r1"))
+            assert b"200 OK" in ask(address_of(given), request(rid="r1"))
     servers[0].shutdown()
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="limits descriptors")
-@pytest.mark.parametrize("way", ["ask", "push"])
-def test_discovery_is_heard_when_connections_to_upstreams_rest_beside_idle_clients(
-    tmp_path: Path, way: str
+@pytest.mark.parametrize("mode", ["ask", "push"])
+def test_discovery_is_reached_despite_idle_connections_to_upstreams_and_idle_clients(
+    tmp_path: Path, mode: str
 ) -> None:
-    """Both kinds together took every descriptor of a small process, and discovery could not be dialled."""
+    """Both together used up all descriptors of a small process, so that discovery could not be connected."""
     servers, added = upstreams(FEW), server(("127.0.0.1", 0), lambda _: b"added")
     rows = rows_of(servers)
-    gone, came = (
+    removed, new = (
         [{**row, "lifecycle": "leaving"} for row in rows],
         instance("s99", ("127.0.0.1", added.server_port)),
     )
-    back = Told(*gone, came)
-    given = configured(way, back.address, known=listing(1, True, *rows))
+    back = Discovery(*removed, new)
+    given = configured(mode, back.address, known=listing(1, True, *rows))
     with crowded(tmp_path, given, [request(rid=f"r{n}") for n in range(6 * FEW)]) as daemon, back:
         n = 0
-        while b"added" not in asked(address_of(given), request(rid=f"s{n}")):
+        while b"added" not in ask(address_of(given), request(rid=f"s{n}")):
             n += 1
             assert daemon.poll() is None
     for one in [*servers, added]:
--- a/tests/node/test_drain.py
+++ b/tests/node/test_drain.py
@@ -1,4 +1,4 @@
-"""The drain's states against a plain model, and drains of a whole balancer on loopback."""
+"""The drain's state machine against a simple model, and drains of a whole balancer on loopback."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @given(EVENTS, st.booleans())
-def test_a_drain_does_as_a_plain_model_says(events: list[tuple[str, float]], shared: bool) -> None:
+def test_the_drain_follows_a_simple_model(events: list[tuple[str, float]], shared: bool) -> None:
     drain, now = Drain(shared), 0.0
     draining: float | None = None  # since when
     ending: float | None = None
@@ -42,30 +42,30 @@
             drain.terminate(now)
             ending = now if ending is None else ending
         else:
-            hurried = event in HURRY
+            no_time_left = event in HURRY
             found = Open(busy=event in ("busy", "refuse", "exit"), silent=event == "silent")
             orders = drain.look(now, found, HURRY.get(event, Hurry.NONE))
             since = ending if ending is not None else draining
             age = -1.0 if since is None else now - since
-            needs = {"look": module.LINGER, "silent": max(module.LINGER, module.SILENT)}
-            over = over or closed and age >= needs.get(event, math.inf)
+            minimum_age = {"look": module.LINGER, "silent": max(module.LINGER, module.SILENT_GRACE)}
+            over = over or closed and age >= minimum_age.get(event, math.inf)
             over = over or event == "exit" and ending is not None
-            closed = ending is not None and (shared or age >= module.LINGER or hurried)
-            late = hurried and age >= 0
-            assert orders.close_kept == (age >= module.KEPT or late)
-            assert orders.close_silent == (age >= module.SILENT or late)
+            closed = ending is not None and (shared or age >= module.LINGER or no_time_left)
+            late = no_time_left and age >= 0
+            assert orders.close_kept == (age >= module.KEEP_ALIVE_GRACE or late)
+            assert orders.close_silent == (age >= module.SILENT_GRACE or late)
             assert orders.refuse_unfinished == late and orders.stop_accepting == closed
         assert drain.taking == (draining is None and ending is None)
         assert (drain.state is State.OVER) == over and drain.ending == (ending is not None)
 
 
-def test_a_younger_process_gets_the_clients_but_ready_stays_yes() -> None:
+def test_clients_move_to_a_newer_process_while_ready_stays_200() -> None:
     drain = Drain(shared=True)
     drain.yielding = True
-    assert drain.taking and not drain.keeping
+    assert drain.taking and not drain.keeps_connections
 
 
-def test_standby_says_no_serves_what_comes_and_lets_go_of_all_until_it_is_active_again() -> None:
+def test_standby_is_not_ready_serves_requests_and_closes_all_connections_until_active_again() -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with node(stub, console="127.0.0.1:0") as balancer:
@@ -79,7 +79,7 @@
                 writer.close()
                 return got.start.split()[1]
 
-            kept, mute, busy = await balancer.open(), await balancer.open(), await balancer.open()
+            kept, silent_client, busy = await balancer.open(), await balancer.open(), await balancer.open()
             assert "200" in (await kept.ask(READY)).start
             busy.writer.write(request(rid="busy"))
             await until(lambda: len(stub.seen) == 1)
@@ -87,7 +87,7 @@
             late = await balancer.open()
             got = await late.ask(READY)
             assert "503" in got.start and got.headers["connection"] == "close"
-            assert await kept.reader.read() == b"" and await mute.reader.read() == b""
+            assert await kept.reader.read() == b"" and await silent_client.reader.read() == b""
             stub.writers[0].write(answer(b"at last"))
             got = await read_message(busy.reader)
             assert got.body == b"at last" and got.headers["connection"] == "close"
@@ -101,7 +101,7 @@
     run(main())
 
 
-def test_active_takes_a_drain_back_before_any_connection_is_closed() -> None:
+def test_active_cancels_a_drain_before_any_connection_is_closed() -> None:
     async def main() -> None:
         stub = await Stub(says(answer(b"done"))).start()
         async with node(stub) as balancer:
--- a/tests/node/test_gone.py
+++ b/tests/node/test_gone.py
@@ -1,4 +1,4 @@
-"""A client that has closed its connection has gone: nothing begins for it, whatever has been read by then."""
+"""No attempt is started for a client that has closed its connection, even if the close is still unread."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 
 
 async def connected(balancer: Node) -> socket.socket:
-    """A client whose sockets calls are done at once: nothing of the balancer runs between two of them."""
+    """A client socket with blocking calls, so that nothing of the balancer runs between two of them."""
     before = set(balancer.front.clients)
     client = socket.create_connection(balancer.address)
     await until(lambda: bool(set(balancer.front.clients) - before))
     return client
 
 
-def test_a_request_whose_client_had_gone_before_it_was_read_goes_nowhere() -> None:
-    """Its bytes and its close wait together: it was sent on to an upstream before the close was read."""
+def test_a_request_whose_client_disconnected_before_it_was_read_is_not_forwarded() -> None:
+    """The request and the close were both in the kernel: it was forwarded before the close was read."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
@@ -55,17 +55,17 @@
     run(main())
 
 
-class LateConnects:
-    """Connections to upstreams come up when they are told to."""
+class DelayedConnects:
+    """Delays connections to upstreams until `release` is set."""
 
     def __init__(self, balancer: Node) -> None:
-        self.may, self.waiting = asyncio.Event(), 0
+        self.release, self.waiting = asyncio.Event(), 0
         pool = balancer.front.driver.pool
         connect = pool._connect
 
         async def late(attempt: Attempt) -> None:
             self.waiting += 1
-            await self.may.wait()
+            await self.release.wait()
             await connect(attempt)
 
         pool._connect = late  # type: ignore[method-assign]
@@ -73,23 +73,23 @@
 
 @pytest.mark.parametrize("cancelling", [True, False])
 @pytest.mark.parametrize("leave", [closes, resets])
-def test_an_attempt_that_waits_for_its_connection_is_not_begun_for_a_client_that_left(
+def test_an_attempt_that_waits_for_its_connection_is_not_sent_for_a_client_that_disconnected(
     cancelling: bool, leave: Callable[[socket.socket], None]
 ) -> None:
-    """Where attempts may not be called off it went out when the connection came up, 1.5 s later."""
+    """Without cancelling, it was sent when the connection was established, 1.5 s later."""
 
     async def main() -> None:
         given = settings()
         given["bounds"]["cancelling"] = cancelling
         stub = await Stub(says(answer())).start()
         async with node(stub, settings=given) as balancer:
-            late = LateConnects(balancer)
+            delayed = DelayedConnects(balancer)
             client = await connected(balancer)
             client.sendall(request(rid="r1"))
-            await until(lambda: late.waiting == 1)
+            await until(lambda: delayed.waiting == 1)
             leave(client)
             await until(lambda: tier(balancer, "send").gone == 1)
-            late.may.set()
+            delayed.release.set()
             assert (await balancer.ask(request(rid="r2"))).body == b"done"
             await until(lambda: not balancer.front.driver.jobs)
             assert [m.headers["x-request-id"] for m in stub.seen] == ["r2"]
@@ -97,8 +97,8 @@
     run(main())
 
 
-def test_a_further_attempt_is_not_begun_for_a_client_whose_close_is_unread() -> None:
-    """The answer that leads to it and the close come in one round, in either order."""
+def test_a_retry_is_not_sent_for_a_client_whose_close_is_unread() -> None:
+    """The answer that causes the retry and the close arrive in one iteration of the loop, in either order."""
 
     async def main() -> None:
         async def handle(_: Stub, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -112,11 +112,11 @@
                     await balancer.ask(request("check", rid=f"warm{n}"))
             before = balancer.front.driver.ledger.attempts
             client = await connected(balancer)
-            driver, told = balancer.front.driver, balancer.front.driver._ended
+            driver, original = balancer.front.driver, balancer.front.driver._ended
 
             def ended(job: Job, number: int, server: int, end: End) -> None:
-                client.close()  # now, so that nobody has read it as the module decides
-                told(job, number, server, end)
+                client.close()  # now, so that it is unread when the balancer's rules decide
+                original(job, number, server, end)
 
             driver._ended = ended  # type: ignore[method-assign]
             client.sendall(request(rid="r1"))
@@ -136,20 +136,20 @@
         (lambda client: client.sendall(b"more"), False),
     ],
 )
-def test_the_machine_tells_that_the_other_side_hung_up(
+def test_the_system_clock_detects_that_the_peer_disconnected(
     leave: Callable[[socket.socket], None], gone: bool
 ) -> None:
     async def main() -> None:
-        made: asyncio.Future[asyncio.BaseTransport] = asyncio.get_running_loop().create_future()
+        accepted: asyncio.Future[asyncio.BaseTransport] = asyncio.get_running_loop().create_future()
 
         class Silent(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
-                made.set_result(transport)
+                accepted.set_result(transport)
 
         server = await asyncio.get_running_loop().create_server(Silent, "127.0.0.1", 0)
         client = socket.create_connection(server.sockets[0].getsockname())
-        transport = await made
-        leave(client)  # no round of the loop comes between
+        transport = await accepted
+        leave(client)  # no iteration of the loop comes between
         assert SYSTEM.hung_up(transport) is gone
         server.close()
 
--- a/tests/node/test_one_answer.py
+++ b/tests/node/test_one_answer.py
@@ -1,4 +1,4 @@
-"""A client gets the bytes of one answer: nothing else is written into one that has begun."""
+"""A client receives the bytes of exactly one answer: nothing is written into an answer in progress."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from tests.node.stubs import Stub, node, run, settings, silent, until
 from tests.node.test_bodies import CHUNKED, chunks, read_any, read_chunks
 
-BEGINNING = chunks(b"a" * 20_000, 4096)  # so much that the balancer begins to pass it on
+BEGINNING = chunks(b"a" * 20_000, 4096)  # enough that the balancer starts streaming the answer
 
 
 def uncancellable() -> dict[str, object]:
-    """Settings under which no attempt may be called off."""
+    """Settings that do not allow cancelling attempts."""
     given = settings()
     given["bounds"]["cancelling"] = False
     return given
 
 
-def test_a_copy_that_is_answered_whole_is_not_written_into_a_long_answer() -> None:
-    """Where nothing may be called off, a copy goes on beside the answer that its client is getting."""
+def test_the_answer_to_a_copy_is_not_written_into_a_streamed_answer() -> None:
+    """Without cancelling, a copy stays in flight while the client receives the other attempt's answer."""
 
     async def main() -> None:
         first, second = await Stub(silent).start(), await Stub(silent).start()
         async with node(first, second, settings=uncancellable()) as balancer:
             caller = await balancer.open()
             caller.writer.write(request("check"))
-            await until(lambda: bool(first.seen and second.seen))  # it has been copied
+            await until(lambda: bool(first.seen and second.seen))  # a copy has been sent
             first.writers[0].write(CHUNKED + BEGINNING)
             assert b"chunked" in await caller.reader.readuntil(b"\r\n\r\n")
             second.writers[0].write(answer(b"whole"))
-            tier = balancer.front.driver.ledger.tier("check")
+            counts = balancer.front.driver.ledger.tier("check")
             pool = balancer.front.driver.pool
             await until(lambda: any(u.idle for u in pool.upstreams.values()))  # the copy's answer was read
             first.writers[0].write(b"3\r\nend\r\n0\r\n\r\n")
             assert await read_chunks(caller.reader) == b"a" * 20_000 + b"end"
             await until(lambda: not balancer.front.driver.jobs)
-            assert (tier.taken, tier.success, tier.inflight) == (1, 1, 0)
+            assert (counts.taken, counts.success, counts.inflight) == (1, 1, 0)
             caller.writer.write(request("check", rid="next"))
             await until(lambda: len(first.seen) + len(second.seen) > 2)
             for stub in (first, second):
@@ -48,8 +48,8 @@
     run(main())
 
 
-def test_a_rejection_is_not_written_into_a_long_answer() -> None:
-    """Bytes behind a request whose answer is coming: the answer is seen to be cut, and says nothing else."""
+def test_a_rejection_is_not_written_into_a_streamed_answer() -> None:
+    """After a pipelined request during a streamed answer, the answer is visibly truncated."""
 
     async def main() -> None:
         async def begins(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/node/test_server.py
+++ b/tests/node/test_server.py
@@ -1,4 +1,4 @@
-"""One answer to each request, whatever happens to it; and what is not accepted at all."""
+"""Each request gets one answer, whatever happens to it; and which input is rejected."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 MS, SECOND = 1_000_000, 1_000_000_000
 
 
-class StandstillClock:
-    """Set by hand; `age` is how long the latest bytes have waited."""
+class ManualClock:
+    """A clock set by the test; `age`: how long the latest input has waited in the kernel."""
 
     now = age = 0
 
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("klass", ["check", "set", "send"])
-def test_served_unchanged_both_ways(klass: str) -> None:
+def test_requests_and_answers_are_passed_on_unchanged(klass: str) -> None:
     async def main() -> None:
         body = bytes(range(256)) * 8
         stub = await Stub(says(answer(body, Content_Type="application/x-sms"))).start()
@@ -74,7 +74,7 @@
     run(main())
 
 
-def test_kept_connections_carry_one_request_after_another() -> None:
+def test_a_keep_alive_connection_carries_several_requests() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
@@ -86,7 +86,7 @@
     run(main())
 
 
-def test_a_request_in_small_pieces_and_one_in_chunks() -> None:
+def test_a_request_in_single_bytes_and_one_in_chunks() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
@@ -103,7 +103,7 @@
     run(main())
 
 
-def test_expect_continue_is_answered_before_the_body_comes() -> None:
+def test_expect_continue_is_answered_before_the_body_arrives() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("behind", [request(rid="r2"), request("check", rid="r2") * 300, b"GARBAGE\r\n"])
-def test_of_requests_that_come_together_none_goes_out(behind: bytes) -> None:
+def test_pipelined_requests_are_rejected_and_none_is_forwarded(behind: bytes) -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("behind", [request(rid="r2"), b"GARBAGE\r\n"])
-def test_what_comes_behind_an_open_request_ends_it(behind: bytes) -> None:
+def test_input_after_an_unanswered_request_ends_it(behind: bytes) -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with node(stub) as balancer:
@@ -170,7 +170,7 @@
     run(main())
 
 
-def test_turned_away_unseen_goes_on_to_another() -> None:
+def test_a_request_not_run_by_one_upstream_is_sent_to_another() -> None:
     async def main() -> None:
         full = await Stub(says(answer(b"", "503 Service Unavailable", X_Not_Run="1"))).start()
         stub = await Stub(says(answer())).start()
@@ -182,7 +182,7 @@
     run(main())
 
 
-def test_refused_with_advice_where_there_is_no_upstream() -> None:
+def test_without_upstreams_a_request_is_refused_with_retry_after() -> None:
     async def main() -> None:
         async with node() as balancer:
             got = await balancer.ask(request("send", deadline=300))
@@ -191,7 +191,7 @@
     run(main())
 
 
-def test_advice_to_come_back_is_decimal_seconds() -> None:
+def test_retry_after_is_in_decimal_seconds() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
@@ -206,7 +206,7 @@
     run(main())
 
 
-def test_the_deadline_ends_it_and_its_attempt() -> None:
+def test_the_deadline_ends_a_request_and_its_attempt() -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with node(stub) as balancer:
@@ -220,7 +220,7 @@
     run(main())
 
 
-def test_at_the_deadline_the_module_says_whether_it_is_a_refusal() -> None:
+def test_at_the_deadline_the_rules_decide_whether_it_is_a_refusal() -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with node(stub) as balancer:
@@ -230,7 +230,7 @@
     run(main())
 
 
-def test_a_client_that_goes_takes_its_attempt_along() -> None:
+def test_a_client_that_disconnects_cancels_its_attempt() -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with node(stub) as balancer:
@@ -245,59 +245,59 @@
     run(main())
 
 
-def test_losers_are_cancelled_by_closing_and_still_reach_the_module() -> None:
+def test_losing_copies_are_cancelled_by_a_close_and_reported_to_the_rules() -> None:
     async def main() -> None:
-        async def slow_second(stub: Stub, _: Message, writer: asyncio.StreamWriter) -> None:
+        async def first_never_answers(stub: Stub, _: Message, writer: asyncio.StreamWriter) -> None:
             if sum(len(s.seen) for s in stubs) <= warm or stub is not stubs[0]:
                 writer.write(answer())
 
-        stubs = [await Stub(slow_second).start() for _ in range(3)]
+        stubs = [await Stub(first_never_answers).start() for _ in range(3)]
         warm = 10_000
         async with node(*stubs) as balancer:
             for n in range(30):
                 assert status(await balancer.ask(request("send", rid=f"w{n}"))) == 200
             warm = 0
             ends: list[AttemptEnd] = []
-            told = balancer.front.driver.balancer.on_attempt_end
+            original = balancer.front.driver.balancer.on_attempt_end
 
-            def listen(now: int, end: AttemptEnd) -> list[Action]:
+            def on_attempt_end(now: int, end: AttemptEnd) -> list[Action]:
                 ends.append(end)
-                return told(now, end)
+                return original(now, end)
 
-            balancer.front.driver.balancer.on_attempt_end = listen  # type: ignore[method-assign]
+            balancer.front.driver.balancer.on_attempt_end = on_attempt_end  # type: ignore[method-assign]
             for n in range(30):
                 assert status(await balancer.ask(request("check", rid=f"c{n}"))) == 200
             await until(lambda: not balancer.front.driver.jobs)
             cancelled = [e for e in ends if e.outcome is Outcome.CANCELLED]
             assert cancelled and all(e.final for e in cancelled)
-            # Those at the one that never answered have seen their connections close.
-            there = [e for e in cancelled if e.server == number_of("s0")]
-            assert there
-            await until(lambda: stubs[0].lost >= len(there))
+            # The connections of those to the upstream that never answered have been closed.
+            unanswered = [e for e in cancelled if e.server == number_of("s0")]
+            assert unanswered
+            await until(lambda: stubs[0].lost >= len(unanswered))
             assert all(s.in_flight == 0 for s in balancer.front.driver.balancer.servers.values())
 
     run(main())
 
 
 @pytest.mark.parametrize("method", ["on_request", "on_attempt_end"])
-def test_a_fault_in_the_module_fails_that_request_alone(
+def test_an_exception_in_the_rules_fails_only_that_request(
     method: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
         stub = await Stub(says(answer(b"", "500 Internal Server Error"))).start()
         async with node(stub) as balancer:
-            module = balancer.front.driver.balancer
-            sound = getattr(module, method)
+            rules = balancer.front.driver.balancer
+            original = getattr(rules, method)
 
             def faulty(*_: object) -> list[Action]:
-                raise RuntimeError("planted")
+                raise RuntimeError("injected")
 
-            setattr(module, method, faulty)
+            setattr(rules, method, faulty)
             with caplog.at_level(logging.ERROR):
                 got = await balancer.ask(request("send"))
             assert status(got) == 500
-            assert any(r.exc_info and "planted" in str(r.exc_info[1]) for r in caplog.records)
-            setattr(module, method, sound)
+            assert any(r.exc_info and "injected" in str(r.exc_info[1]) for r in caplog.records)
+            setattr(rules, method, original)
             stub.handler = says(answer())
             got = await balancer.ask(request("set", rid="r2"))
             assert status(got) == 200
@@ -306,29 +306,29 @@
     run(main())
 
 
-def test_what_a_faulty_module_still_asks_for_is_not_sent() -> None:
-    """The fault comes after the module noted a send: its count must come down, and nothing may go out."""
+def test_nothing_is_sent_after_an_exception_in_the_rules() -> None:
+    """The exception is raised after a send was counted: the count is undone and nothing is sent."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
-            module = balancer.front.driver.balancer
-            assert status(await balancer.ask(request("send", rid="r0"))) == 200  # a connection is warm
-            sound = module._watch_over
+            rules = balancer.front.driver.balancer
+            assert status(await balancer.ask(request("send", rid="r0"))) == 200  # leaves an idle connection
+            original = rules._watch_over
 
             def faulty(*_: object) -> None:
-                raise RuntimeError("planted")
+                raise RuntimeError("injected")
 
-            module._watch_over = faulty  # type: ignore[method-assign, assignment]
+            rules._watch_over = faulty  # type: ignore[method-assign, assignment]
             assert status(await balancer.ask(request("send"))) == 500
-            module._watch_over = sound  # type: ignore[method-assign]
+            rules._watch_over = original  # type: ignore[method-assign]
             await until(lambda: not balancer.front.driver.jobs)
-            assert len(stub.seen) == 1 and all(s.in_flight == 0 for s in module.servers.values())
+            assert len(stub.seen) == 1 and all(s.in_flight == 0 for s in rules.servers.values())
 
     run(main())
 
 
-# ---- not accepted ----
+# ---- rejected ----
 
 
 @pytest.mark.parametrize(
@@ -384,7 +384,7 @@
         b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
         b"GET /api\r\n\r\n",
         b"NONSENSE\r\n\r\n",
-        # Each of these could hide a second request, or is read in another way by whoever stands behind.
+        # Each of these could smuggle a second request, or be read differently by an upstream.
         *(
             request().replace(b"Content-Length: 5", framing)
             for framing in (
@@ -423,7 +423,7 @@
     ],
     ids=range(61),
 )
-def test_bad_input_is_answered_4xx_and_goes_nowhere(bad: bytes) -> None:
+def test_bad_input_is_rejected_and_not_forwarded(bad: bytes) -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
@@ -435,7 +435,7 @@
     run(main())
 
 
-def test_an_id_in_use_is_not_taken_twice() -> None:
+def test_a_request_id_in_use_is_rejected() -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with node(stub) as balancer:
@@ -449,10 +449,10 @@
     run(main())
 
 
-# ---- bounds ----
+# ---- limits ----
 
 
-def test_more_connections_than_allowed_close_idle_ones_and_no_busy_one() -> None:
+def test_over_the_connection_limit_idle_connections_are_closed_and_no_busy_one() -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 40}  # eight of them for clients
@@ -471,10 +471,10 @@
     run(main())
 
 
-def test_a_refusal_of_the_body_reaches_a_client_that_is_still_sending(
+def test_the_rejection_of_a_body_reaches_a_client_that_is_still_sending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "MAX_LONG", 2_000_000)
+    monkeypatch.setattr(server, "MAX_STREAMED_BODY", 2_000_000)
 
     async def main() -> None:
         async with node() as balancer:
@@ -491,7 +491,7 @@
     run(main())
 
 
-def test_head_ends_the_connection_so_that_no_body_is_taken_for_an_answer() -> None:
+def test_the_answer_to_head_ends_the_connection_as_it_has_a_body() -> None:
     async def main() -> None:
         async with node() as balancer:
             got = await balancer.ask(request("check", method="HEAD"))
@@ -501,10 +501,10 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /api HTT", request()[:-2]])
-def test_a_client_that_sends_no_whole_request_is_let_go_in_time(
+def test_a_client_that_sends_no_complete_request_is_closed_by_timeout(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "FIRST", 0.1)
+    monkeypatch.setattr(server, "HEAD_TIMEOUT", 0.1)
 
     async def main() -> None:
         async with node() as balancer:
@@ -518,39 +518,39 @@
     run(main())
 
 
-def test_bytes_that_trickle_in_win_no_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "FIRST", 0.1)
+def test_single_bytes_do_not_extend_the_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(server, "HEAD_TIMEOUT", 0.1)
 
     async def main() -> None:
         async with node() as balancer:
             caller = await balancer.open()
             caller.writer.write(b"GET /api HTTP/1.1\r\nX-Slow: ")
-            told = asyncio.ensure_future(caller.reader.readuntil(b"\r\n"))
-            while not told.done():
+            status_line = asyncio.ensure_future(caller.reader.readuntil(b"\r\n"))
+            while not status_line.done():
                 caller.writer.write(b"x")
                 await asyncio.sleep(0.005)
-            assert told.result().startswith(b"HTTP/1.1 408")
+            assert status_line.result().startswith(b"HTTP/1.1 408")
 
     run(main())
 
 
-def test_who_was_answered_keeps_the_connection_longer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "FIRST", 0.1)
+def test_a_connection_that_was_answered_stays_open_longer(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(server, "HEAD_TIMEOUT", 0.1)
     monkeypatch.setattr(server, "ONCE", 30.0)
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
-            caller, mute = await balancer.open(), await balancer.open()
+            caller, silent_client = await balancer.open(), await balancer.open()
             assert status(await caller.ask(request(rid="r1"))) == 200
-            assert await mute.reader.read() == b""
+            assert await silent_client.reader.read() == b""
             assert status(await caller.ask(request(rid="r2"))) == 200
 
     run(main())
 
 
-def test_a_rejected_client_that_goes_on_sending_holds_no_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "LINGER", 0.05)
+def test_a_rejected_client_that_goes_on_sending_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(server, "LINGER_TIMEOUT", 0.05)
 
     async def main() -> None:
         async with node() as balancer:
@@ -565,10 +565,10 @@
     run(main())
 
 
-def test_clients_that_ask_once_and_stay_do_not_take_the_room_of_those_that_come_back(
+def test_clients_that_stay_after_one_request_leave_connections_for_returning_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "ONCE", 30.0)  # until all have asked, however slow the machine
+    monkeypatch.setattr(server, "ONCE", 30.0)  # until all have sent a request, however slow the machine
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
@@ -579,7 +579,7 @@
             ended = [m.headers.get("connection") == "close" for m in got]
             assert ended == [n > 10 for n in range(15)]  # from half of the limit on
             monkeypatch.setattr(server, "ONCE", 0.05)
-            for caller in crowd:  # who said nothing more is let go as well
+            for caller in crowd:  # idle ones are closed, too
                 assert await caller.reader.read() == b""
             assert balancer.front.served == 0
             caller = await balancer.open()
@@ -591,8 +591,10 @@
     run(main())
 
 
-def test_the_silent_make_room_before_the_usual_clients(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "FIRST", 30.0)
+def test_over_the_limit_silent_connections_are_closed_before_used_ones(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(server, "HEAD_TIMEOUT", 30.0)
     monkeypatch.setattr(server, "ONCE", 30.0)
 
     async def main() -> None:
@@ -614,19 +616,19 @@
     run(main())
 
 
-def test_a_timer_that_the_module_fails_in_is_told_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_timer_whose_handler_raises_is_repeated(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(driver, "TIMER_RETRY", 0.01)
 
     async def main() -> None:
         async with node() as balancer:
-            told: list[str] = []
+            tokens: list[str] = []
 
             def faulty(now: int, token: str) -> list[Action]:
-                told.append(token)
-                raise RuntimeError("planted")
+                tokens.append(token)
+                raise RuntimeError("injected")
 
             balancer.front.driver.balancer.on_timer = faulty  # type: ignore[method-assign]
-            await until(lambda: told.count("sweep") >= 3)
+            await until(lambda: tokens.count("sweep") >= 3)
 
     run(main())
 
@@ -634,7 +636,7 @@
 # ---- ready ----
 
 
-def test_ready_with_a_known_list_though_discovery_says_nothing() -> None:
+def test_ready_with_a_known_list_though_discovery_does_not_answer() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
@@ -657,20 +659,23 @@
     run(main())
 
 
-def test_time_in_which_this_process_stood_still_counts_for_what_arrived_in_it() -> None:
-    """A request that waited in the kernel through a standstill was answered that much after its time."""
-    loop, clock = asyncio.new_event_loop(), StandstillClock()
+def test_time_in_which_the_process_is_stalled_counts_for_input_that_arrived_in_it() -> None:
+    """A request that waited in the kernel during a stall was answered that much after its deadline."""
+    loop, clock = asyncio.new_event_loop(), ManualClock()
     try:
         front = server.Front(clock.on(loop), clock, cast(Driver, None), cast(requests.Reader, None), 10)
         transport = asyncio.BaseTransport()
         clock.now, clock.age = 10 * SECOND, 0
-        front.arrivals.awake = 10.0
+        front.arrivals.last_read = 10.0
         assert front.arrivals.of(transport) == 10 * SECOND
-        clock.now, clock.age = 10 * SECOND + 15 * MS, 12 * MS  # a usual round: the machine is not even asked
+        clock.now, clock.age = 10 * SECOND + 15 * MS, 12 * MS  # a normal iteration: `input_age` is not called
         assert front.arrivals.of(transport) == clock.now
         clock.now, clock.age = 11 * SECOND, 700 * MS
         assert front.arrivals.of(transport) == 10 * SECOND + 300 * MS
-        clock.now, clock.age = 11 * SECOND + 30 * MS, 730 * MS  # read in a later round, arrived before
+        clock.now, clock.age = (
+            11 * SECOND + 30 * MS,
+            730 * MS,
+        )  # read in a later iteration, arrived during the stall
         assert front.arrivals.of(transport) == 10 * SECOND + 300 * MS
         for _ in range(4):
             clock.now += 15 * MS
@@ -682,7 +687,7 @@
         loop.close()
 
 
-def test_the_machine_tells_how_long_bytes_have_waited() -> None:
+def test_the_system_clock_tells_how_long_input_has_waited() -> None:
     async def main() -> None:
         got: list[asyncio.BaseTransport] = []
 
