--- a/tests/faults/daemon.py
+++ b/tests/faults/daemon.py
@@ -1,4 +1,4 @@
-"""A daemon as a process of its own on loopback, under faults of its system calls."""
+"""A daemon in a separate process on loopback, with injected faults of its system calls."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def free_address() -> tuple[str, int]:
-    """An address on loopback at which nobody listens now."""
+    """An unused address on loopback."""
     with socket.create_server(("127.0.0.1", 0)) as one:
         found: tuple[str, int] = one.getsockname()
     return found
@@ -34,7 +34,7 @@
 
 @dataclass
 class Daemon:
-    """A running daemon, and what fails in it."""
+    """A running daemon and the faults injected into it."""
 
     process: subprocess.Popen[bytes]
     address: tuple[str, int]
@@ -44,34 +44,34 @@
     environment: dict[str, str]
 
     def beside(self, listener: socket.socket) -> Daemon:
-        """A second process of the same balancer, on the listener that both have; the caller ends it."""
-        return replace(self, process=started(self.folder, self.environment, listener))
+        """Start a second process of the same balancer on the same listener; the caller has to end it."""
+        return replace(self, process=start(self.folder, self.environment, listener))
 
     def caught(self, number: signal.Signals) -> bool:
-        """Whether its process has a handler for a signal."""
+        """Whether the process has a handler for a signal."""
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith("SigCgt"):
                 return bool(int(line.split()[1], 16) & 1 << (number - 1))
         return False
 
     async def open(self) -> Caller:
-        """A client's new connection."""
+        """Open a new connection as a client."""
         return await Caller.to(self.address)
 
     async def ask(self, request: bytes) -> Message:
-        """One request on a connection of its own."""
+        """Send one request on a new connection."""
         return await ask_once(self.address, request)
 
     def ending(self, longest: float) -> Ending:
-        """Its end, where the longest deadline of its settings is so many seconds."""
+        """The termination of the process; `longest`: the longest deadline of its settings, in seconds."""
         return Ending(self.process.pid, longest, lambda: self.process.poll() is None)
 
     def log(self) -> str:
-        """What it has written to standard error."""
+        """What the process has written to standard output and standard error."""
         return (self.folder / "log").read_text()
 
     async def ended(self) -> int:
-        """Its exit code, once it has ended."""
+        """Wait until the process has ended; returns its exit code."""
         await until(lambda: self.process.poll() is not None)
         return self.process.returncode
 
@@ -85,16 +85,16 @@
     environment: dict[str, str] | None = None,
     **changes: Any,
 ) -> AsyncIterator[Daemon]:
-    """Started with a list of these upstreams, and ready; killed at the end if it still runs.
+    """Start a daemon with these upstreams and wait until it is ready; kill it at the end if it still runs.
 
-    `before` orders what fails from the start on. `inherited`: a listener that it accepts from, beside others.
-    Files fail below its `$TMPDIR`, which is `folder / "shared"`.
+    `before` sets up faults that apply from the start. `inherited`: a listener to accept from, shared with
+    other processes. File faults apply below its `$TMPDIR`, which is `folder / "shared"`.
     """
     shared = folder / "shared"
     shared.mkdir(exist_ok=True)
     faults = FaultControl(folder / "faults", shared)
     before(faults)
-    whole = {
+    variables = {
         "NODE_CONFIG": str(folder / "config.json"),
         "TMPDIR": str(shared),
         **faults.environment(),
@@ -105,38 +105,38 @@
     address = inherited.getsockname() if inherited is not None else free_address()
     given = {**configuration(registry.address, known), "listen": f"{address[0]}:{address[1]}", **changes}
     (folder / "config.json").write_text(json.dumps(given))
-    process = started(folder, whole, inherited)
-    made = Daemon(process, address, faults, folder, registry, whole)
+    process = start(folder, variables, inherited)
+    running = Daemon(process, address, faults, folder, registry, variables)
     try:
-        await _ready(made)
-        yield made
+        await _wait_ready(running)
+        yield running
     finally:
         if process.poll() is None:
             process.kill()
         process.wait()
 
 
-def started(
+def start(
     folder: Path, environment: dict[str, str], inherited: socket.socket | None
 ) -> subprocess.Popen[bytes]:
-    """A process of the daemon, which writes to the log in `folder`."""
+    """Start a process of the daemon, which writes to the log in `folder`."""
     passed = [] if inherited is None else [inherited.fileno()]
-    own = {"NODE_INHERITED_FD": str(passed[0])} if passed else {}
+    inheritance = {"NODE_INHERITED_FD": str(passed[0])} if passed else {}
     with (folder / "log").open("ab") as log:
         return subprocess.Popen(
             COMMAND,
             cwd=ROOT,
-            env={**os.environ, **environment, **own},
+            env={**os.environ, **environment, **inheritance},
             pass_fds=passed,
             stdout=log,
             stderr=log,
         )
 
 
-async def _ready(made: Daemon) -> None:
-    while made.process.poll() is None:
+async def _wait_ready(running: Daemon) -> None:
+    while running.process.poll() is None:
         with suppress(OSError, asyncio.IncompleteReadError):
-            if "200" in (await made.ask(READY)).start:
+            if "200" in (await running.ask(READY)).start:
                 return
         await asyncio.sleep(0.01)
-    raise AssertionError(f"the daemon ended: {made.log()}")
+    raise AssertionError(f"the daemon ended before it was ready: {running.log()}")
--- a/tests/faults/ending.py
+++ b/tests/faults/ending.py
@@ -1,4 +1,4 @@
-"""The end of a process as the protocol page has it: SIGTERM, clients that go on, SIGKILL at the earliest."""
+"""Termination of a process as the protocol specifies it: SIGTERM, more requests, the earliest SIGKILL."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from dykeshift.sim.scenario import kill_after
 from tests.node.stubs import Caller
 
-POLL = 0.002  # seconds between two looks at whether it is time
+POLL = 0.002  # seconds between two checks whether it is time for SIGKILL
 
 
 def run_delay(process: int) -> float:
-    """Seconds for which a process has waited for a processor in all (schedstats.txt of Linux)."""
+    """Total seconds for which a process has waited for a CPU (see schedstats.txt of Linux)."""
     return int(Path(f"/proc/{process}/schedstat").read_text().split()[1]) / 1e9
 
 
 class Ending:
-    """From SIGTERM to SIGKILL of one process.
+    """The termination of a process, from SIGTERM to SIGKILL.
 
-    Offsets are seconds since SIGTERM. What a busy machine kept from the process is given back to it: the time
-    for which it waited for a processor meanwhile does not count.
+    Offsets are seconds since SIGTERM. To tolerate a busy machine, the time for which the process has waited
+    for a CPU since then does not count.
     """
 
     def __init__(self, process: int, longest: float, running: Callable[[], bool]) -> None:
-        """`process`: its id. `longest`: seconds, the longest deadline of its settings."""
+        """`process`: its id. `longest`: the longest deadline of its settings, in seconds."""
         self.process, self.running = process, running
         self.kill_at = kill_after(longest)
         self.sent = self.waited = 0.0
@@ -47,23 +47,23 @@
         self.signal(signal.SIGTERM)
 
     def offset(self) -> float:
-        """Seconds since SIGTERM, as the process had them."""
+        """Seconds since SIGTERM, without those in which the process waited for a CPU."""
         with suppress(OSError, IndexError):
             return time.monotonic() - self.sent - (run_delay(self.process) - self.waited)
         return time.monotonic() - self.sent
 
     async def reach(self, offset: float) -> None:
-        """Wait until so long after SIGTERM."""
+        """Wait until this offset."""
         while (left := offset - self.offset()) > 0:
             await asyncio.sleep(min(left, 0.01))
 
     async def kill(self) -> bool:
-        """SIGKILL at the earliest moment that the page allows; says whether the process still ran."""
+        """Send SIGKILL at the earliest time allowed; returns whether the process was still running."""
         while self.running() and self.offset() < self.kill_at:
             await asyncio.sleep(POLL)
-        ran = self.running()
+        was_running = self.running()
         self.signal(signal.SIGKILL)
-        return ran
+        return was_running
 
 
 async def exchange(client: Caller, data: bytes) -> bytes:
@@ -78,9 +78,9 @@
 
 
 def status(answer: bytes) -> str:
-    """Of a whole answer with a told length; empty where it is not whole."""
+    """The status of an answer with a length; empty if it is incomplete."""
     head, found, body = answer.partition(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
-    told = next((one.partition(":")[2] for one in lines if one.lower().startswith("content-length:")), None)
-    whole = bool(found) and told is not None and len(body) >= int(told)
-    return lines[0].split()[1] if whole else ""
+    length = next((x.partition(":")[2] for x in lines if x.lower().startswith("content-length:")), None)
+    complete = bool(found) and length is not None and len(body) >= int(length)
+    return lines[0].split()[1] if complete else ""
--- a/tests/faults/failing_calls.c
+++ b/tests/faults/failing_calls.c
@@ -1,8 +1,9 @@
-/* Makes system calls of one process fail, come up short or take long, as Linux documents that they may.
+/* Fault injection: makes system calls of a process fail, return short or be delayed, as Linux documents that
+ * they may.
  *
- * Preloaded into a process under test (LD_PRELOAD). What is to fail now stands in a file that the process
- * maps shared (FAULT_CONTROL); the test changes it at any time. See fault_control.py for its layout.
- * Only sockets of AF_INET fail, and files below FAULT_FOLDER: never the event loop's own descriptors.
+ * Preloaded into a process under test (LD_PRELOAD). The faults are configured in a file that the process maps
+ * shared (FAULT_CONTROL); the test can change it at any time. See fault_control.py for its layout.
+ * Faults apply only to AF_INET sockets and to files below FAULT_FOLDER, never to the event loop's descriptors.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -23,12 +24,12 @@
 #include <unistd.h>
 
 enum kind { ACCEPT, CONNECT, SOCKET, WAIT, SHORT_READ, SHORT_WRITE, BROKEN, HELD, FILE_CALL, PEEK, KINDS };
-enum { MOST_ERRORS = 14, PER_MILLION = 1000000 };
+enum { MAX_ERRORS = 14, PER_MILLION = 1000000 };
 
 struct fault {
     uint32_t share; /* of a million calls */
-    uint32_t errors; /* how many of the next are set; HELD: the first is the most microseconds */
-    int32_t error[MOST_ERRORS];
+    uint32_t errors; /* number of entries set in `error`; for HELD, the first is the maximum delay in us */
+    int32_t error[MAX_ERRORS];
 };
 
 struct control {
@@ -74,7 +75,7 @@
     return fault->errors ? fault->error[next_random() % fault->errors] : EIO;
 }
 
-/* Whether the call is to fail; errno says how. */
+/* Whether the call is to fail; sets errno. */
 static int fails(enum kind kind) {
     if (!drawn(kind)) return 0;
     errno = error_of(kind);
@@ -105,17 +106,17 @@
     return is_below(path);
 }
 
-/* The process stands still for a while, with its clocks running on. */
-static void stand_still(void) {
+/* Delays the process for a random time, while its clocks run on. */
+static void delay(void) {
     if (drawn(HELD)) {
         struct timespec wait = {0, 0};
-        uint64_t most = control->fault[HELD].error[0];
-        wait.tv_nsec = (long)(next_random() % (most + 1)) * 1000;
+        uint64_t longest = control->fault[HELD].error[0];
+        wait.tv_nsec = (long)(next_random() % (longest + 1)) * 1000;
         nanosleep(&wait, NULL);
     }
 }
 
-/* A broken connection may show as another error than a reset. */
+/* A broken connection may be reported by other errors than a reset. */
 static ssize_t broken(ssize_t result) {
     if (result < 0 && (errno == ECONNRESET || errno == EPIPE) && drawn(BROKEN)) errno = error_of(BROKEN);
     return result;
@@ -162,7 +163,7 @@
 
 ssize_t read(int fd, void *data, size_t size) {
     REAL(read);
-    /* Short against what is asked for: a buffer is far larger than what waits, so cut to a few bytes. */
+    /* Cut to a few bytes, as buffers are far larger than the input that waits. */
     size_t cut = size;
     if (shortened(fd, size, SHORT_READ) != size) cut = 1 + next_random() % 64;
     return broken(real(fd, data, cut < size ? cut : size));
@@ -180,13 +181,13 @@
         if (fails(FILE_CALL)) return -1;
         return real(fd, data, size);
     }
-    if (control->fault[HELD].share && is_network(fd)) stand_still();
+    if (control->fault[HELD].share && is_network(fd)) delay();
     return broken(real(fd, data, shortened(fd, size, SHORT_WRITE)));
 }
 
 ssize_t writev(int fd, const struct iovec *pieces, int count) {
     REAL(writev);
-    if (control->fault[HELD].share && is_network(fd)) stand_still();
+    if (control->fault[HELD].share && is_network(fd)) delay();
     if (count > 0 && control->fault[SHORT_WRITE].share && is_network(fd) && drawn(SHORT_WRITE)) {
         struct iovec first = pieces[0];
         if (first.iov_len > 1) first.iov_len = 1 + next_random() % (first.iov_len - 1);
@@ -197,7 +198,7 @@
 
 ssize_t sendmsg(int fd, const struct msghdr *message, int flags) {
     REAL(sendmsg);
-    if (control->fault[HELD].share && is_network(fd)) stand_still();
+    if (control->fault[HELD].share && is_network(fd)) delay();
     return broken(real(fd, message, flags));
 }
 
--- a/tests/faults/fault_control.py
+++ b/tests/faults/fault_control.py
@@ -1,4 +1,4 @@
-"""The faults of system calls that a test orders for processes under test: see failing_calls.c."""
+"""Controls the injection of system call faults into processes under test: see failing_calls.c."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("failing_calls.c")
-MOST_ERRORS = 14
+MAX_ERRORS = 14
 PER_MILLION = 1_000_000
 _HEAD = struct.Struct("=q")
 _COUNT = struct.Struct("=Q")
-_FAULT = struct.Struct(f"=II{MOST_ERRORS}i")
+_FAULT = struct.Struct(f"=II{MAX_ERRORS}i")
 
 ACCEPT_ERRORS = (
     errno.ECONNABORTED,
@@ -39,7 +39,7 @@
 
 
 class Kind(IntEnum):
-    """Which calls fail, or how; in the order of failing_calls.c."""
+    """The kinds of faults, in the order of failing_calls.c."""
 
     ACCEPT = 0
     CONNECT = 1
@@ -58,37 +58,39 @@
 
 @cache
 def library() -> Path:
-    """The shared library, compiled once for this process. Raises CalledProcessError if that fails."""
-    made = Path(os.environ.get("TMPDIR", "/tmp")) / f"lifttrail-failing-calls-{os.getuid()}-{os.getpid()}.so"
+    """The path of the shared library, compiled once per test process. Raises CalledProcessError."""
+    compiled = (
+        Path(os.environ.get("TMPDIR", "/tmp")) / f"lifttrail-failing-calls-{os.getuid()}-{os.getpid()}.so"
+    )
     subprocess.run(
-        ["cc", "-O2", "-Wall", "-shared", "-fPIC", "-o", str(made), str(SOURCE), "-ldl"], check=True
+        ["cc", "-O2", "-Wall", "-shared", "-fPIC", "-o", str(compiled), str(SOURCE), "-ldl"], check=True
     )
-    return made
+    return compiled
 
 
 class FaultControl:
-    """What fails in the processes that were started with `environment`; changed while they run."""
+    """Faults in the processes started with `environment`; can be changed while they run."""
 
     def __init__(self, path: Path, folder: Path | None = None, seed: int = 1) -> None:
-        """`path`: of the file to make. `folder`: below it files fail, too."""
+        """`path`: of the control file to create. `folder`: file faults apply to files below it."""
         self.path, self.folder, self.seed = path, folder, seed
         path.write_bytes(bytes(_SIZE))
         with path.open("r+b") as file:
             self._block = mmap.mmap(file.fileno(), _SIZE)
 
     def environment(self) -> dict[str, str]:
-        """For a process that is to be under these faults."""
-        chosen = {
+        """The environment variables for a process with these faults."""
+        variables = {
             "LD_PRELOAD": str(library()),
             "FAULT_CONTROL": str(self.path),
             "FAULT_SEED": str(self.seed),
         }
         if self.folder is not None:
-            chosen["FAULT_FOLDER"] = str(self.folder)
-        return chosen
+            variables["FAULT_FOLDER"] = str(self.folder)
+        return variables
 
     def fail(self, kind: Kind, share: float, errors: Iterable[int] = ()) -> None:
-        """From now on this share of such calls fails, with one of the errors by chance."""
+        """From now on this share of such calls fails, with one of the errors at random."""
         chosen = tuple(errors)
         _FAULT.pack_into(
             self._block,
@@ -96,24 +98,24 @@
             int(share * PER_MILLION),
             len(chosen),
             *chosen,
-            *[0] * (MOST_ERRORS - len(chosen)),
+            *[0] * (MAX_ERRORS - len(chosen)),
         )
 
     def hold(self, share: float, seconds: float) -> None:
-        """This share of writes to the network waits before it, for up to so long."""
+        """From now on this share of network writes is delayed, each by up to so many seconds."""
         self.fail(Kind.HELD, share, [int(seconds * 1e6)])
 
     def step_wall_clock(self, seconds: float) -> None:
-        """From now on the wall clock is off by so much, in all."""
+        """From now on the wall clock is off by so many seconds in total."""
         _HEAD.pack_into(self._block, 0, int(seconds * 1e9))
 
     def calm(self) -> None:
-        """Nothing fails any more; the wall clock stays where it is."""
+        """Stop all faults; the wall clock's offset stays."""
         for kind in Kind:
             self.fail(kind, 0.0)
 
     def injected(self, kind: Kind) -> int:
-        """How many such faults there have been."""
+        """The number of faults of this kind injected so far."""
         found: int = _COUNT.unpack_from(self._block, _HEAD.size + kind * _COUNT.size)[0]
         return found
 
--- a/tests/faults/test_early_signals.py
+++ b/tests/faults/test_early_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come while the process starts: a new configuration never ends it."""
+"""SIGHUP while the process starts or ends: a configuration reload must never kill it."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from tests.node.messages import answer, instance, listing, request
 from tests.node.stubs import Registry, Stub, ask_once, configuration, run, says, until
 
-HANGUP = 1 << (signal.SIGHUP - 1)  # its bit in the masks of /proc/PID/status
+SIGHUP_BIT = 1 << (signal.SIGHUP - 1)  # in the masks of /proc/PID/status
 
 
-def spared(process: int) -> bool:
-    """Whether SIGHUP is ignored, blocked or caught there."""
+def survives_sighup(process: int) -> bool:
+    """Whether the process ignores, blocks or catches SIGHUP."""
     lines = Path(f"/proc/{process}/status").read_text().splitlines()
     masks = [int(line.split()[1], 16) for line in lines if line.startswith(("SigIgn", "SigBlk", "SigCgt"))]
-    return any(mask & HANGUP for mask in masks)
+    return any(mask & SIGHUP_BIT for mask in masks)
 
 
 def is_program(process: int) -> bool:
-    """Whether the shell has given way to the program."""
+    """Whether the shell has replaced itself by the program."""
     return Path(f"/proc/{process}/cmdline").read_bytes().split(b"\0")[0].endswith(b"python")
 
 
-def test_new_configurations_while_the_process_starts_do_not_end_it(tmp_path: Path) -> None:
-    """SIGHUP's default ends a process; the interpreter and the imports take a quarter of a second."""
+def test_sighup_while_the_process_starts_does_not_end_it(tmp_path: Path) -> None:
+    """The default action of SIGHUP ends a process; starting Python and the imports takes 0.25 s."""
 
     async def main() -> None:
         stub, registry = await Stub(says(answer())).start(), await Registry().start()
@@ -47,7 +47,7 @@
         )
         try:
             await until(lambda: is_program(process.pid))
-            assert spared(process.pid)
+            assert survives_sighup(process.pid)
             while process.poll() is None:
                 process.send_signal(signal.SIGHUP)
                 with suppress(OSError):
@@ -64,8 +64,8 @@
     run(main())
 
 
-def test_new_configurations_while_the_process_ends_do_not_spoil_its_end(tmp_path: Path) -> None:
-    """As the event loop closes, handlers of signals go before the process does."""
+def test_sighup_while_the_process_ends_does_not_change_its_exit_code(tmp_path: Path) -> None:
+    """When the event loop closes, it removes its signal handlers before the process has ended."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
--- a/tests/faults/test_failing_calls.py
+++ b/tests/faults/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, as Linux documents: each request read gets its one answer."""
+"""Temporary failures of system calls, as documented for Linux: each request read gets one answer."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 from tests.node.messages import answer, request
 from tests.node.stubs import Stub, run, says, until
 
-ROUNDS, TOGETHER = 12, 8  # requests on new connections: so many rounds of so many at once
+ROUNDS, CONCURRENT = 12, 8  # requests on new connections: rounds, and requests at once in each
 
 
-async def asked(balancer: Daemon, name: str) -> list[str]:
-    """The statuses of many requests on new connections; a connection that ends unanswered raises."""
+async def ask_often(balancer: Daemon, name: str) -> list[str]:
+    """The statuses of many requests on new connections; raises if one ends without an answer."""
     statuses = list[str]()
     for turn in range(ROUNDS):
-        together = (balancer.ask(request(rid=f"{name}-{turn}-{n}")) for n in range(TOGETHER))
-        statuses += [one.start.split()[1] for one in await asyncio.gather(*together)]
+        requests = (balancer.ask(request(rid=f"{name}-{turn}-{n}")) for n in range(CONCURRENT))
+        statuses += [one.start.split()[1] for one in await asyncio.gather(*requests)]
     return statuses
 
 
 @pytest.mark.parametrize("failure", ACCEPT_ERRORS, ids=lambda code: errno.errorcode[code])
-def test_a_connection_is_served_however_accept_fails_for_a_moment(failure: int, tmp_path: Path) -> None:
-    """With no descriptor left in the system the event loop closed connections unread to clear its queue."""
+def test_connections_are_served_despite_temporary_failures_of_accept(failure: int, tmp_path: Path) -> None:
+    """When the system had no descriptor left, the event loop closed queued connections unread."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with daemon(tmp_path, stub) as balancer:
             balancer.faults.fail(Kind.ACCEPT, 0.4, [failure])
-            assert set(await asked(balancer, "failing")) == {"200"}
+            assert set(await ask_often(balancer, "failing")) == {"200"}
             assert balancer.faults.injected(Kind.ACCEPT) > 0
             balancer.faults.calm()
-            assert set(await asked(balancer, "calm")) == {"200"}
+            assert set(await ask_often(balancer, "calm")) == {"200"}
             balancer.process.terminate()
             assert await balancer.ended() == 0
 
@@ -62,18 +62,18 @@
     ],
     ids=lambda value: value.name if isinstance(value, Kind) else "",
 )
-def test_each_request_is_answered_whatever_other_calls_fail(
+def test_each_request_is_answered_despite_failures_of_other_calls(
     kind: Kind, share: float, errors: tuple[int, ...], tmp_path: Path
 ) -> None:
-    """Refused or failed where no connection comes up; never left without an answer."""
+    """Refused or failed if no connection can be established, but never left without an answer."""
 
     async def main() -> None:
         # Each answer ends its connection, so that each request needs a connect.
         stub = await Stub(says(answer(Connection="close"), close=True)).start()
         async with daemon(tmp_path, stub) as balancer:
             balancer.faults.fail(kind, share, errors)
-            assert set(await asked(balancer, "failing")) <= {"200", "500", "503", "504"}
-            if kind is not Kind.BROKEN:  # nothing breaks here by itself
+            assert set(await ask_often(balancer, "failing")) <= {"200", "500", "503", "504"}
+            if kind is not Kind.BROKEN:  # no connection breaks in this test
                 assert balancer.faults.injected(kind) > 0
             balancer.faults.calm()
             balancer.process.terminate()
@@ -83,8 +83,8 @@
 
 
 @pytest.mark.parametrize("failure", SOCKET_ERRORS, ids=lambda code: errno.errorcode[code])
-def test_a_process_starts_though_the_system_has_no_socket_for_a_moment(failure: int, tmp_path: Path) -> None:
-    """It ended with 2 and said that it could not listen."""
+def test_a_process_starts_despite_temporary_failures_of_socket(failure: int, tmp_path: Path) -> None:
+    """It exited with code 2 and a message that it could not listen."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("failure", (errno.EPERM, errno.ENFILE), ids=lambda code: errno.errorcode[code])
 def test_other_clients_are_served_while_every_accept_fails(failure: int, tmp_path: Path) -> None:
-    """The loop goes on turning, and what waits is accepted once that works again."""
+    """The event loop keeps running, and queued connections are accepted once accept works again."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
--- a/tests/faults/test_failing_folder.py
+++ b/tests/faults/test_failing_folder.py
@@ -1,4 +1,4 @@
-"""The folder that versions of a balancer share can't be written or read for a while: clients are served."""
+"""Clients are served while the folder shared by the processes of a balancer cannot be written or read."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 @pytest.mark.parametrize("share", [1.0, 0.5])
-def test_a_process_beside_another_serves_though_its_folder_cannot_be_written(
+def test_a_process_with_an_inherited_listener_serves_though_the_folder_cannot_be_written(
     share: float, tmp_path: Path
 ) -> None:
-    """It accepted clients for a moment and ended with a traceback."""
+    """It accepted clients for a moment and then ended with a traceback."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
--- a/tests/faults/test_process_end.py
+++ b/tests/faults/test_process_end.py
@@ -1,4 +1,4 @@
-"""What a process has taken is answered before the platform kills it, however late it was taken."""
+"""Every request accepted by a process is answered before the platform kills it, however late it came."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from tests.node.messages import Message, answer, read_frame, request
 from tests.node.stubs import Caller, Stub, run, says, service, settings, silent, until
 
-CLOCK_ERROR = 2.0  # seconds by which clinics' clocks may be off, as a balancer takes it by default
-HELD_UP = 0.15  # seconds for which a balancer may be held up
+CLOCK_ERROR = 2.0  # seconds by which clinics' clocks may be off: the balancer's default
+STALL = 0.15  # seconds for which a balancer may be stalled
 MLLP = """
 [mllp]
 listen = ["127.0.0.1:{port}"]
@@ -32,34 +32,37 @@
 target = "/hl7/send"
 deadline_ms = 4000
 """
-LATE_ASKS = (0.05, 0.3, 0.6, 0.75, 0.85, 0.95, 1.05)  # seconds after SIGTERM
+LATE_OFFSETS = (0.05, 0.3, 0.6, 0.75, 0.85, 0.95, 1.05)  # seconds after SIGTERM
 
 
 def deadlines(*seconds: float) -> dict[str, Any]:
-    """Settings whose classes have these deadlines, the last one's as often as there are more classes."""
+    """Settings whose classes have these deadlines; the last one is repeated for further classes."""
     kinds = (("check", "pure"), ("set", "token"), ("send", "side_effect"))
-    each = [*seconds, *[seconds[-1]] * len(kinds)]
+    padded = [*seconds, *[seconds[-1]] * len(kinds)]
     return settings(
         services=[
-            service(name, kind, deadlineNs=int(each[n] * 1e9), goalTimeNs=int(each[n] * 0.8e9))
+            service(name, kind, deadlineNs=int(padded[n] * 1e9), goalTimeNs=int(padded[n] * 0.8e9))
             for n, (name, kind) in enumerate(kinds)
         ]
     )
 
 
 @pytest.mark.parametrize("longest", [0.7, 4.0])
-def test_connections_that_ask_late_get_their_answers_before_the_kill(longest: float, tmp_path: Path) -> None:
-    """They had come before SIGTERM or right after it and asked nothing until then; the upstreams hang."""
+def test_late_requests_on_silent_connections_are_answered_before_the_kill(
+    longest: float, tmp_path: Path
+) -> None:
+    """Opened before SIGTERM or right after it, without a request until then; the upstreams never answer."""
 
     async def main() -> None:
         upstreams = [await Stub(silent).start() for _ in range(2)]
         async with daemon(tmp_path, *upstreams, settings=deadlines(longest)) as balancer:
             ending = balancer.ending(longest)
-            before = [await balancer.open() for _ in LATE_ASKS]
+            before = [await balancer.open() for _ in LATE_OFFSETS]
             ending.terminate()
-            after = [await balancer.open() for _ in LATE_ASKS]
-            asks = [
-                (f"{n}", client, LATE_ASKS[n % len(LATE_ASKS)]) for n, client in enumerate(before + after)
+            after = [await balancer.open() for _ in LATE_OFFSETS]
+            planned = [
+                (f"{n}", client, LATE_OFFSETS[n % len(LATE_OFFSETS)])
+                for n, client in enumerate(before + after)
             ]
 
             async def ask(rid: str, client: Any, offset: float) -> tuple[str, str]:
@@ -69,7 +72,7 @@
                     await exchange(client, request(klass, rid=rid, deadline=int(longest * 1000)))
                 )
 
-            answering = asyncio.gather(*(ask(*one) for one in asks))
+            answering = asyncio.gather(*(ask(*one) for one in planned))
             killed = await ending.kill()
             answers = dict(await answering)
             forwarded = {message.headers["x-request-id"] for one in upstreams for message in one.seen}
@@ -81,23 +84,23 @@
 
 
 def hl7_message(control: str) -> bytes:
-    """An order of now, by a clock that is ahead by what is allowed: after any process here was started."""
+    """An order of now by a clock ahead by the allowed error: later than the start of any process here."""
     seconds, fraction = divmod(time.time() + CLOCK_ERROR, 1)
-    made = time.strftime("%Y%m%d%H%M%S", time.gmtime(seconds)) + f".{int(fraction * 10_000):04d}+0000"
-    return f"MSH|^~\\&|CLINIC|DORNOD|LT|CH|{made}||ORM^O01|{control}|P|2.5.1\rPID|1||42\r".encode()
+    created = time.strftime("%Y%m%d%H%M%S", time.gmtime(seconds)) + f".{int(fraction * 10_000):04d}+0000"
+    return f"MSH|^~\\&|CLINIC|DORNOD|LT|CH|{created}||ORM^O01|{control}|P|2.5.1\rPID|1||42\r".encode()
 
 
-async def asked(ending: Ending, client: Caller, offset: float, data: bytes) -> bytes:
-    """All that comes on a connection on which is asked so long after SIGTERM."""
+async def ask_at(ending: Ending, client: Caller, offset: float, data: bytes) -> bytes:
+    """Send a request at this offset after SIGTERM; returns all that is received on the connection."""
     await ending.reach(offset)
     return await exchange(client, data)
 
 
-@pytest.mark.parametrize(("longest", "apart"), [(0.2, 0.05), (1.557, 0.17)])
-def test_a_process_that_hears_late_and_stands_still_again_answers_before_the_kill(
-    longest: float, apart: float, tmp_path: Path
+@pytest.mark.parametrize(("longest", "interval"), [(0.2, 0.05), (1.557, 0.17)])
+def test_a_process_that_is_stalled_twice_answers_before_the_kill(
+    longest: float, interval: float, tmp_path: Path
 ) -> None:
-    """It is held up for 0.15 s as SIGTERM comes, and once more just before its last answers."""
+    """It is stalled for 0.15 s as SIGTERM arrives, and once more just before its last answers."""
 
     async def main() -> None:
         stub = await Stub(silent).start()
@@ -108,15 +111,17 @@
             ending.terminate()
             answering = asyncio.gather(
                 *(
-                    asked(ending, one, apart * n, request("send", rid=f"r{n}", deadline=int(longest * 1000)))
+                    ask_at(
+                        ending, one, interval * n, request("send", rid=f"r{n}", deadline=int(longest * 1000))
+                    )
                     for n, one in enumerate(clients)
                 )
             )
-            await ending.reach(HELD_UP)
+            await ending.reach(STALL)
             ending.signal(signal.SIGCONT)
-            await ending.reach(ending.kill_at - termination.RESERVE / 1e9 + HELD_UP - 0.02)
+            await ending.reach(ending.kill_at - termination.RESERVE / 1e9 + STALL - 0.02)
             ending.signal(signal.SIGSTOP)
-            await asyncio.sleep(HELD_UP)
+            await asyncio.sleep(STALL)
             ending.signal(signal.SIGCONT)
             assert not await ending.kill()
             assert all(status(one) for one in await answering)
@@ -130,7 +135,7 @@
 def test_new_deadlines_around_the_end_do_not_move_it_past_the_kill(
     change: float, before: bool, tmp_path: Path
 ) -> None:
-    """The platform may go by either configuration; signals come in series."""
+    """The platform may use either configuration; several signals arrive in a row."""
 
     async def main() -> None:
         stub = await Stub(silent).start()
@@ -146,19 +151,19 @@
             ending.terminate()
             for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
                 ending.signal(number)
-            asks = [
-                asked(ending, one, offset, request("check", rid=f"r{offset}", deadline=800))
+            requests = [
+                ask_at(ending, one, offset, request("check", rid=f"r{offset}", deadline=800))
                 for one, offset in zip(clients, (0.02, 0.2, 0.75 if change > 1 else 0.35), strict=True)
             ]
-            answering = asyncio.gather(*asks)
+            answering = asyncio.gather(*requests)
             assert not await ending.kill()
             assert all(status(one) for one in await answering)
 
     run(main())
 
 
-def test_what_was_forwarded_fails_and_what_was_not_is_refused(tmp_path: Path) -> None:
-    """An unsafe request that may have run is never called harmless; its upstream is told what is left."""
+def test_a_forwarded_request_fails_and_one_not_forwarded_is_refused(tmp_path: Path) -> None:
+    """An unsafe request that may have been executed is not refused; its upstream gets the remaining time."""
 
     async def main() -> None:
         stub = await Stub(silent).start()
@@ -167,20 +172,20 @@
             sent, late = await balancer.open(), await balancer.open()
             ending.terminate()
             answering = asyncio.gather(
-                asked(ending, sent, 0.45, request("send", rid="forwarded", deadline=700)),
-                asked(ending, late, 0.98, request("send", rid="too-late", deadline=700)),
+                ask_at(ending, sent, 0.45, request("send", rid="forwarded", deadline=700)),
+                ask_at(ending, late, 0.98, request("send", rid="too-late", deadline=700)),
             )
             assert not await ending.kill()
             first, second = await answering
             assert status(first) in ("500", "504") and status(second) in ("503", "")
-            told = {one.headers["x-request-id"]: int(one.headers["x-deadline-ms"]) for one in stub.seen}
+            sent_ms = {one.headers["x-request-id"]: int(one.headers["x-deadline-ms"]) for one in stub.seen}
             left = 1000 * (ending.kill_at - termination.RESERVE / 1e9 - 0.45)
-            assert "too-late" not in told and told["forwarded"] <= left + 150
+            assert "too-late" not in sent_ms and sent_ms["forwarded"] <= left + 150
 
     run(main())
 
 
-def test_a_body_half_sent_and_pipelined_requests_get_whole_answers(tmp_path: Path) -> None:
+def test_incomplete_bodies_and_pipelined_requests_get_complete_answers(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with daemon(tmp_path, stub, settings=deadlines(0.4)) as balancer:
@@ -189,9 +194,9 @@
             body = b"x" * 200_000
             ending.terminate()
             answering = asyncio.gather(
-                asked(ending, half, 0.1, request(rid="half", deadline=400)[:-2]),
-                asked(ending, large, 0.1, request(rid="large", deadline=400, body=body)[:-50_000]),
-                asked(
+                ask_at(ending, half, 0.1, request(rid="half", deadline=400)[:-2]),
+                ask_at(ending, large, 0.1, request(rid="large", deadline=400, body=body)[:-50_000]),
+                ask_at(
                     ending, piped, 0.1, request(rid="one", deadline=400) + request(rid="two", deadline=400)
                 ),
             )
@@ -203,8 +208,8 @@
     run(main())
 
 
-def test_a_long_answer_on_its_way_is_whole_or_seen_to_be_cut(tmp_path: Path) -> None:
-    """It may use the time until the kill, and the process ends by itself."""
+def test_a_streamed_answer_is_complete_or_visibly_truncated(tmp_path: Path) -> None:
+    """It may take until the kill, and the process ends by itself."""
 
     async def slowly(_: Stub, message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -221,19 +226,19 @@
             short, endless = await balancer.open(), await balancer.open()
             ending.terminate()
             answering = asyncio.gather(
-                asked(ending, short, 0.3, request(rid="short", deadline=500)),
-                asked(ending, endless, 0.3, request(rid="endless", deadline=500)),
+                ask_at(ending, short, 0.3, request(rid="short", deadline=500)),
+                ask_at(ending, endless, 0.3, request(rid="endless", deadline=500)),
             )
             await ending.kill()
-            whole, cut = await answering
-            assert whole.endswith(b"0\r\n\r\n") and whole.count(b"." * 4096) == 4
-            assert cut.startswith(b"HTTP/1.1 200") and not cut.endswith(b"0\r\n\r\n")
+            complete, truncated = await answering
+            assert complete.endswith(b"0\r\n\r\n") and complete.count(b"." * 4096) == 4
+            assert truncated.startswith(b"HTTP/1.1 200") and not truncated.endswith(b"0\r\n\r\n")
 
     run(main())
 
 
-def test_signals_while_the_process_starts_or_ends_twice_leave_nothing_unanswered(tmp_path: Path) -> None:
-    """Told to end as it waits for its first list beside another process, it does not wait for that."""
+def test_repeated_signals_while_a_second_process_starts_leave_nothing_unanswered(tmp_path: Path) -> None:
+    """Told to end while it waits for its first list beside another process, it stops waiting for that."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
@@ -257,7 +262,7 @@
 
 
 def test_a_frame_taken_before_the_end_is_acknowledged_before_the_kill(tmp_path: Path) -> None:
-    """Over MLLP; its deadline is longer than the end, and its upstream hangs."""
+    """Over MLLP, with a deadline beyond the process's end and an upstream that never answers."""
 
     async def main() -> None:
         stub = await Stub(silent).start()
