--- a/dykeshift/engine/server.py
+++ b/dykeshift/engine/server.py
@@ -12,7 +12,7 @@
 
 from dykeshift.clock import Clock
 from dykeshift.engine.arrivals import Arrivals
-from dykeshift.engine.bodies import Answer, Bytes, BodyStream, Upload
+from dykeshift.engine.bodies import Answer, BodyStream, Bytes, Upload
 from dykeshift.engine.budget import Budget
 from dykeshift.engine.drain import Drain, Orders
 from dykeshift.engine.driver import Driver
@@ -197,11 +197,8 @@
         # Framing of the streamed answer; end_marked: by length or chunks, so that the client sees its end.
         self.chunked = self.end_marked = False
         self.reading_paused = False  # the request's body is not read, as there is no buffer space for it
-        self.progress: tuple[int, int] = (
-            0,
-            0,
-        )  # bytes of body received and output not sent, when last checked
-        self.progress_at = self.connected_at  # when they last changed
+        self.progress: tuple[int, int] = (0, 0)  # bytes received of the body and bytes of output not sent
+        self.progress_at = self.connected_at  # when these last changed
 
     def between(self) -> bool:
         """Whether it is idle between requests: none received even in part, and all answers sent."""
@@ -402,9 +399,7 @@
             self.body = bytearray()
         try:
             self.front.driver.submit(incoming, self.last_arrival, self.final, self.has_disconnected)
-        except (
-            Exception
-        ):  # a bug: an attempt may have been sent, so the request has failed and is not refused
+        except Exception:  # a bug: an attempt may have been sent, so the request fails and is not refused
             log.exception(
                 "internal error while submitting request %s",
                 incoming.id,
--- a/dykeshift/engine/termination.py
+++ b/dykeshift/engine/termination.py
@@ -16,7 +16,7 @@
 
 from collections.abc import Iterable
 
-from dykeshift.engine.invariants import Invariant, EventCounts
+from dykeshift.engine.invariants import EventCounts, Invariant
 from dykeshift.interface import RequestClass
 
 MILLISECOND = 1_000_000
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -382,9 +382,8 @@
             body = b"x" * 60_000
             whole = request("send", rid="steady", body=body)
             steady.writer.write(whole[:-30_000])
-            assert (
-                "408" in (await read_message(idle.reader)).start
-            )  # REQUEST_TIMEOUT, and 15 ms for its 500 bytes
+            # Rejected after REQUEST_TIMEOUT and 15 ms more for its 500 bytes.
+            assert "408" in (await read_message(idle.reader)).start
             steady.writer.write(whole[-30_000:])  # allowed about a second more for its 30,000 bytes
             assert (await read_message(steady.reader)).body == b"done"
 
--- a/tests/node/test_server.py
+++ b/tests/node/test_server.py
@@ -672,10 +672,7 @@
         assert front.arrivals.of(transport) == clock.now
         clock.now, clock.age = 11 * SECOND, 700 * MS
         assert front.arrivals.of(transport) == 10 * SECOND + 300 * MS
-        clock.now, clock.age = (
-            11 * SECOND + 30 * MS,
-            730 * MS,
-        )  # read in a later iteration, arrived during the stall
+        clock.now, clock.age = 11 * SECOND + 30 * MS, 730 * MS  # arrived during the stall, read later
         assert front.arrivals.of(transport) == 10 * SECOND + 300 * MS
         for _ in range(4):
             clock.now += 15 * MS
--- a/tests/node/test_termination.py
+++ b/tests/node/test_termination.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from dykeshift.engine import termination as module
-from dykeshift.engine.invariants import Invariant, EventCounts
+from dykeshift.engine.invariants import EventCounts, Invariant
 from dykeshift.engine.termination import MILLISECOND, Termination
 from dykeshift.interface import RequestClass
 from tests.harness import SAFE
