--- a/dykeshift/engine/config.py
+++ b/dykeshift/engine/config.py
@@ -1,4 +1,4 @@
-"""What this balancer is told at its start: the file that NODE_CONFIG names, checked and typed."""
+"""The configuration file of a balancer (named by NODE_CONFIG), validated and typed."""
 
 from __future__ import annotations
 
@@ -11,68 +11,66 @@
 
 Address = tuple[str, int]
 
-CONNECTIONS_SHARE = 0.4  # of the descriptors, for the connections to clients and again for those to upstreams
-# Descriptors that are neither kind's: 14 of the program at rest, discovery's two while it moves, and some for
-# connections that are being accepted or closed. All others together must not take them.
+CONNECTIONS_SHARE = 0.4  # of the file descriptors, for client connections and again for upstream ones
+# File descriptors kept for other uses: 14 of the idle process, two to discovery while its address changes,
+# and some for connections that are being accepted or closed.
 RESERVED_DESCRIPTORS = 24
-BASE_MEMORY_MB = 16.0  # MB that the program needs with no connection open, measured, with some room
-CONNECTION_MEMORY_MB = (
-    0.128  # MB that one connection holds at the most: a whole body, and again while it is passed on
-)
-MAX_OPERATOR_CONNECTIONS, OPERATOR_SHARE = (
-    16,
-    16,
-)  # operators' connections: so many, or one in so many of the descriptors
-LONG_REQUESTS_SHARE = 0.25  # of the memory beside the program's, for what is kept of long requests
+BASE_MEMORY_MB = 16.0  # measured without connections, plus some headroom
+CONNECTION_MEMORY_MB = 0.128  # at most, per connection: a whole body, and a second copy while it is forwarded
+# Operators' connections: at most so many, and at most one in so many of the file descriptors.
+MAX_OPERATOR_CONNECTIONS, OPERATOR_SHARE = 16, 16
+LONG_REQUESTS_SHARE = 0.25  # of the memory beyond BASE_MEMORY_MB, to buffer long requests
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; its text is one plain line for people."""
+    """The configuration cannot be used; the message is one line of text."""
 
 
 @dataclass(frozen=True, slots=True)
 class Peering:
-    """How this balancer reaches the others, for features that talk to them."""
+    """How this balancer reaches the other balancers, for features that need it."""
 
     listen: Address
-    peers: tuple[Address, ...]  # one for each balancer of the tier, perhaps its own among them
-    everybody: Address | None  # reaches all at once
-    number: int | None  # this one's among them
-    settings: Any = None  # as the file words them
+    peers: tuple[Address, ...]  # of all balancers of the tier; may include this one's
+    everybody: Address | None  # broadcast address that reaches all of them
+    number: int | None  # index of this balancer in the tier
+    settings: Any = None  # the settings as in the file, not parsed
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """A parsed configuration file."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
-    connections: int  # most that may be open to clients, and as many to upstreams
-    kept: int  # bytes of long requests that may be kept
-    known: Any  # the list as this balancer last had it, in discovery's form; None: never had one
+    connections: int  # limit of client connections, and the same of upstream connections
+    kept: int  # bytes of long requests that may be buffered
+    known: Any  # the cached list of upstreams in the format of discovery; None: none yet
     settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     keepalive: float  # seconds after which an upstream closes an idle connection
     connect_timeout: float  # seconds
-    console: Address | None = None  # where operators call
-    callers: int = 0  # operators' connections at once
-    peering: Peering | None = None  # read only where a feature asks for it
+    console: Address | None = None  # listening address for operators
+    callers: int = 0  # limit of concurrent operator connections
+    peering: Peering | None = None  # parsed only if a feature needs it
 
 
 def read_address(text: Any) -> Address:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-        raise ValueError(f"{text!r} is no address of the form host:port")
+        raise ValueError(f"{text!r} is not an address of the form host:port")
     return host, int(port)
 
 
 def _reject_non_finite(text: str) -> Any:
-    raise ValueError(f"{text} is no number")
+    raise ValueError(f"{text} is not a number")
 
 
 def load(path: str, console: str | None = None, peering: bool = False) -> Config:
-    """`console`: an address that goes before the file's. `peering`: whether that is wanted, too."""
+    """Load a file. `console`: overrides the file's address. `peering`: whether to parse that part, too."""
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file, parse_constant=_reject_non_finite)
@@ -89,11 +87,10 @@
 
 
 def max_connections(limits: dict[str, Any], aside: int = 0) -> int:
-    """Of either kind, so that neither descriptors nor memory run out when all of them are full.
-
-    `aside`: descriptors that are neither's.
+    """The limit of client connections, and of upstream connections: descriptors and memory suffice for both.
 
-    What is left of the descriptors is for accepting, discovery and sockets that are being closed.
+    `aside`: descriptors reserved for other connections. The rest of the descriptors is for accepting,
+    discovery and sockets that are being closed.
     """
     sockets, memory = int(limits.get("sockets", 1024)) - aside, float(limits.get("memory_mb", 192))
     most = min(int(sockets * CONNECTIONS_SHARE), (sockets - RESERVED_DESCRIPTORS) // 2)
@@ -112,8 +109,8 @@
     if not raw.get("peer_listen"):
         return None
     peers = tuple(read_address(one) for one in raw.get("peers") or ())
-    me = raw["settings"].get("me")
-    number = me if type(me) is int and 0 <= me < 65535 else None
+    index = raw["settings"].get("me")
+    number = index if type(index) is int and 0 <= index < 65535 else None
     return Peering(
         read_address(raw["peer_listen"]),
         peers,
--- a/dykeshift/engine/discovery.py
+++ b/dykeshift/engine/discovery.py
@@ -1,9 +1,10 @@
-"""The list of upstreams: the one known from before, the whole one, and the watch on its changes.
+"""Client of the discovery service: the cached list, the full list, and the long-poll watch on its changes.
 
-One call is out at a time, on a connection that ends with it, so answers come in the order of their calls. An
-answer of an older generation than was asked from is thus no late one: discovery has begun to count anew. Its
-whole list is believed at once, as it has nothing better. Its changes are heard, too, but they build on a list
-that this balancer never had, so the whole one is asked for next.
+There is one call at a time, and the connection is closed if the call fails, so answers arrive in the order of
+their calls. An answer with an older generation than the call asked from is therefore not a late one:
+discovery has restarted its count. A full list is then applied at once, as discovery has nothing newer.
+Changes are applied, too, but they build on a list that this balancer never had, so the full list is requested
+next.
 """
 
 from __future__ import annotations
@@ -25,57 +26,57 @@
 
 log = logging.getLogger(__name__)
 
-# How long a watch may wait at discovery: short, so that one that has fallen silent shows soon. Going on from
-# the last answer is no new call, and no work for discovery.
+# Longest wait of a long poll at discovery: short, so that a silent discovery is noticed soon. A poll that
+# continues from the last answer does not count as a new call at discovery and causes it no work.
 HOLD_MS = 1_000
-# Seconds more until a first call that said nothing counts as failed: what the protocol gives an answer after
-# the wait. A call that is given up sooner may still stand in discovery's queue, and its repeat behind it.
+# Seconds beyond the wait until an unanswered first call counts as failed: the time that the protocol allows
+# for an answer. A call that is given up sooner may still be in discovery's queue, with its retry behind it.
 ANSWER_TIMEOUT_S = 2.0
-# The same once a watch has been answered: it stands in no queue, so only the network is between. With the
-# wait, a third of the time after which its news counts as told: two more calls have room in the rest.
+# The same for a watch that has been answered before: it waits in no queue, so only the network adds delay.
+# Wait and time-out together are a third of the time after which a change counts as announced (see rules.py),
+# which leaves time for two more calls.
 QUIET = 1.0
-CONNECT_TIMEOUT_S = 1.0  # seconds
-MAX_LIST = 4 * 1024 * 1024
-PUSH_RETRY_S = 0.1  # seconds: an agent on this machine is asked again at no cost
-MAX_REMEMBERED_STARTS = 4096  # servers that are listed no more and whose starts are remembered
-MAX_LISTING_DELAY_NS = (
-    3_000_000_000  # nanoseconds from a server's start until discovery tells it, at the most
-)
+CONNECT_TIMEOUT_S = 1.0
+MAX_LIST = 4 * 1024 * 1024  # bytes
+PUSH_RETRY_S = 0.1  # a pushed list comes from an agent on this machine: asking again is cheap
+MAX_REMEMBERED_STARTS = 4096  # of servers that are no longer listed
+MAX_LISTING_DELAY_NS = 3_000_000_000  # longest time from a server's start until discovery lists it
 _STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 
 ApplyList = Callable[[ListKind, list[Listed]], bool]
 
 
 def number_of(instance: str) -> int:
-    """The same number for the same id, at every start and with nothing kept for those long gone."""
+    """The number of an instance id: a hash, the same after each restart without a stored table."""
     return int.from_bytes(hashlib.blake2b(instance.encode(), digest_size=8).digest(), "big")
 
 
 class Reader:
-    """Reads lists in discovery's form, for this balancer's clock."""
+    """Parses lists in the format of discovery and converts start times to this process's monotonic clock."""
 
     def __init__(self, clock: Clock, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones = {name: n for n, name in enumerate(zones)}
         self.kinds = {name: n for n, name in enumerate(kinds)}
         self.clock = clock
-        # One offset for the whole run: starts are compared with one another.
+        # From Unix time to the monotonic clock; fixed at start, as start times are compared with one another.
         self.offset = clock.monotonic_ns() - clock.time_ns()
-        self.starts: dict[int, tuple[int, int]] = {}  # of those listed: as told, and on this clock
-        # The same of those that are listed no more, MOST_LEFT of them.
+        # Start times of listed servers: as stated, and on the monotonic clock.
+        self.starts: dict[int, tuple[int, int]] = {}
+        # The same of servers that are no longer listed, at most MAX_REMEMBERED_STARTS.
         self.delisted: dict[int, tuple[int, int]] = {}
-        # When discovery gave the latest sound answer of this life, on the monotonic clock; 0: none yet.
+        # When discovery gave its last valid answer to this process, on the monotonic clock; 0: none yet.
         self.last_answer_at = 0
 
     def note_answer(self) -> None:
-        """Discovery has spoken: a start that it tells of later, and has not until now, is not much older."""
+        """Note a valid answer of discovery: a server that is listed later cannot have started long before."""
         self.last_answer_at = self.clock.monotonic_ns()
 
     def read(self, raw: Any) -> tuple[int, bool, list[Listed]]:
-        """Generation, whether the list is whole, entries; ValueError if any part is unsound."""
+        """Returns the generation, whether the list is full, and its entries; ValueError if it is invalid."""
         try:
             generation, whole, rows = raw["generation"], raw["reset"], raw["instances"]
             if type(generation) is not int or type(whole) is not bool or type(rows) is not list:
-                raise ValueError("generation, reset or instances is of the wrong kind")
+                raise ValueError("generation, reset or instances has the wrong type")
             listed = [self._parse_row(row) for row in rows]
             if whole:
                 there = {one.entry.id for one in listed}
@@ -109,44 +110,44 @@
         return Listed(entry, NOWHERE if gone else read_address(row["hostPort"]))
 
     def _zone_index(self, name: str) -> int:
-        """Its place in the settings; else one of its own below zero.
+        """The position of a zone in the settings; for an unknown zone, a negative number of its own.
 
-        Protects keys that hold within a zone: two zones that the settings do not name are not one.
+        Two zones that the settings do not name must stay distinct, as keys may be valid within one zone only.
         """
         return self.zones[name] if name in self.zones else -1 - number_of(name)
 
     def _note_delisted(self, number: int) -> None:
-        """Of the list; it may come back without having started anew."""
+        """Remember the start time of a server that left the list: it may come back without a restart."""
         start = self.starts.pop(number, None)
         if start is not None:
             self.delisted[number] = start
             if len(self.delisted) > MAX_REMEMBERED_STARTS:
                 del self.delisted[next(iter(self.delisted))]
 
-    def _start_time(self, number: int, began: int) -> int:
-        """When it started, on this clock; 0: long ago.
+    def _start_time(self, number: int, stated: int) -> int:
+        """The start time of a server on the monotonic clock; 0: long ago.
 
-        Not later than it was first told: where the wall clock was minutes behind as this process started, a
-        server would count as cold for so much longer. And not much earlier than the answer before, which did
-        not tell it yet: where the wall clock was ahead, a server would count as warm while it is cold.
+        It is limited to the time at which the server was first listed: if the wall clock was minutes behind
+        when this process started, the server would count as cold for that much longer. It is also not much
+        earlier than the previous answer, which did not list the server yet: if the wall clock was ahead, a
+        cold server would count as warm.
         """
-        if began <= 0:
+        if stated <= 0:
             return 0
-        told, started = self.starts.get(number, (0, 0))
-        if (
-            told != began and self.delisted.get(number, (0, 0))[0] == began
-        ):  # it has come back, and not started
+        known, started = self.starts.get(number, (0, 0))
+        # Listed again without a restart.
+        if known != stated and self.delisted.get(number, (0, 0))[0] == stated:
             self.starts[number] = self.delisted.pop(number)
             return self.starts[number][1]
-        if told != began:
+        if known != stated:
             earliest = max(1, self.last_answer_at - MAX_LISTING_DELAY_NS)
-            started = max(earliest, min(began + self.offset, self.clock.monotonic_ns()))
-            self.starts[number] = began, started
+            started = max(earliest, min(stated + self.offset, self.clock.monotonic_ns()))
+            self.starts[number] = stated, started
         return started
 
 
 class ListCall:
-    """One call, from its request to the one thing that becomes of it."""
+    """One call for the list (a `link.Exchange`); `done` gets the answer, or None if the connection broke."""
 
     def __init__(self, done: Callable[[Answer | None], None]) -> None:
         self.done = done
@@ -163,11 +164,11 @@
 
 
 class WatchEndedError(Exception):
-    """A call brought nothing to go on from."""
+    """A call brought no usable list, so that the watch cannot continue."""
 
 
 class Discovery:
-    """Watches while told to; whatever goes wrong is reported once and ends the watch."""
+    """Watches the list on request; any failure ends the watch and is reported once."""
 
     def __init__(
         self,
@@ -186,40 +187,40 @@
         self.reader = reader
         self.apply = apply
         self.failed = failed
-        self.generation: int | None = None  # None: no list yet, so the whole one is asked for
+        self.generation: int | None = None  # None: no list yet, so the full one is requested
         self.task: asyncio.Task[None] | None = None
-        self.previous_task: asyncio.Task[None] | None = (
-            None  # the watch on the discovery before, until this speaks
-        )
+        # The watch at the previous address, until the new one answers.
+        self.previous_task: asyncio.Task[None] | None = None
 
     def take_known(self, known: Any) -> None:
-        """The list from before the start: it may be old, and it may be unsound or missing."""
+        """Apply the cached list from before the start, which may be outdated, invalid or missing."""
         if known is None:
             return
         try:
             generation, whole, listed = self.reader.read(known)
         except ValueError as exc:
             log.warning(
-                "the known list is dropped: %s",
+                "the cached list of upstreams is invalid and ignored: %s",
                 exc,
                 extra={"event": "list.known-dropped", "fields": {"reason": str(exc)}},
             )
             return
-        if whole:  # changes to it could be told; to a part of a list they could not
+        if whole:  # changes can be requested for a full list only
             self.generation = generation
         self.apply(ListKind.CACHED, listed)
 
     def watch(self) -> None:
-        """Begin a watch, unless one is on: the watch goes on by itself from answer to answer."""
+        """Start a watch unless one is running; it continues by itself from answer to answer."""
         if self.task is None or self.task.done():
             self.task = self.loop.create_task(self._watch())
 
     def move(self, address: Address) -> None:
-        """Leave for another discovery: its whole list comes next, as its generations need not compare.
+        """Switch to discovery at another address.
 
-        Until the new one has spoken the watch on the old one goes on, as long as its connection lasts: who
-        moves with all others may be turned away for seconds, and what drains meanwhile is to get nothing new.
-        Its end is no failure, and is not reported so.
+        Its full list is requested, as the generations of the two need not be comparable. The watch at the old
+        address continues until the new one answers, as long as its connection lasts: when the whole fleet
+        moves at once, the new one may refuse calls for seconds, and servers that drain meanwhile must get no
+        new requests. The end of the old watch is not reported as a failure.
         """
         self._cancel_previous()
         self.address, self.generation = address, None
@@ -228,7 +229,7 @@
             self.watch()
 
     def _cancel_previous(self) -> None:
-        """Of the discovery before."""
+        """Stop the watch at the previous address."""
         if self.previous_task is not None:
             self.previous_task.cancel()
             self.previous_task = None
@@ -240,17 +241,15 @@
         try:
             while self.task is this_task or self.previous_task is this_task:
                 if connection is None or not connection.alive():
-                    if self.task is not this_task:  # it moved: the old one is not dialled anew
+                    if self.task is not this_task:  # moved: no new connection to the old address
                         break
                     self._close(connection)
                     connection = await self._connect()
-                    if (
-                        self.task is not this_task
-                    ):  # it moved meanwhile: nothing is out that could bring a word
+                    if self.task is not this_task:  # moved during the connect: nothing has been requested
                         break
                     if end is not CallEnd.BROKEN:
                         end = CallEnd.UNANSWERED
-                # A whole list that is asked for in between is a new call, and may stand in the queue.
+                # A full list that is requested in between is a new call to discovery and may be queued.
                 answer_timeout = (
                     QUIET if end is CallEnd.BROKEN and generation is not None else ANSWER_TIMEOUT_S
                 )
@@ -259,15 +258,15 @@
                 end = CallEnd.BROKEN
         except (OSError, TimeoutError, WatchEndedError):
             pass
-        except Exception:  # the program's own fault: nobody would ask again, and what drains would go unheard
+        except Exception:  # a bug: the watch must be retried, or drains would be missed
             log.exception("the watch on discovery failed", extra={"event": "discovery.failed"})
-        finally:  # its own connection alone: after a move another watch has one of its own
+        finally:  # only its own connection: after a move the new watch has its own
             self._close(connection)
         if self.task is not this_task:
             return
         self.task = None
         self.failed(end)
-        if self.pushed:  # the module does not ask where lists are pushed
+        if self.pushed:  # where lists are pushed, the decision module does not ask
             self.loop.call_later(PUSH_RETRY_S, self.watch)
 
     async def _request_list(
@@ -305,14 +304,18 @@
             connection.close()
 
     def _accept_answer(self, answer: Answer | None, asked_from: int | None, current: bool) -> int | None:
-        """The generation to go on from; None: the whole list is to be asked for. WatchEndedError: neither."""
+        """Apply an answer; returns the generation to continue from, or None to request the full list.
+
+        Raises WatchEndedError if the watch cannot continue. `current`: the answer is not from the previous
+        address.
+        """
         if answer is None or answer.status != 200:
             raise WatchEndedError
         try:
             generation, whole, listed = self.reader.read(json.loads(answer.body))
         except (ValueError, RecursionError) as exc:
             log.warning(
-                "an update from discovery is dropped: %s",
+                "an invalid update from discovery is ignored: %s",
                 exc,
                 extra={"event": "list.dropped", "fields": {"reason": str(exc)}},
             )
@@ -322,14 +325,14 @@
         if current:
             self._cancel_previous()
         elif not listed and not whole:
-            return None if restarted else generation  # no word, and no sign of life of the one asked now
+            return None if restarted else generation  # brings nothing, and is no answer of the new one
         if restarted and not listed:
-            applied = True  # applied, it would say that all else is as it was
+            applied = True  # if delivered, it would confirm the old list as unchanged
         else:
             applied = self.apply(ListKind.FULL if whole else ListKind.DELTA, listed)
         next_generation = generation if applied and not restarted else None
         if current:
             self.generation = next_generation
-        if not applied:  # what the module failed over it may hold in part: the whole list is asked for next
+        if not applied:  # the module may have applied a part of it: the full list is requested next
             raise WatchEndedError
         return next_generation
--- a/dykeshift/engine/driver.py
+++ b/dykeshift/engine/driver.py
@@ -1,7 +1,8 @@
-"""Between the sockets and the decision module: tells it what happens and does what it says, nothing else.
+"""Connects the I/O layer to the decision module: passes events to it and carries out the actions it returns.
 
-It knows no protocol. A front submits an `Asked` and gets one `Final`; the pool carries what is to be sent and
-says how each attempt ended (upstream.py). Both speak in terms of interface.py.
+The driver knows no protocol and makes no balancing decisions. A front end submits an `Asked` and gets one
+`Final`; the connection pool sends the attempts and reports how each one ended (upstream.py). Events and
+actions are those of interface.py; the decision module (rules.py) is called "the module" below.
 """
 
 from __future__ import annotations
@@ -43,41 +44,40 @@
 
 log = logging.getLogger(__name__)
 
-# What is kept of the client's time for the way back: an answer that comes as it gives up is none.
+# Nanoseconds of the client's deadline that are reserved for the way back: an answer that reaches the client
+# as it gives up is lost.
 RESPONSE_RESERVE_NS = 5_000_000
-UPLOAD_TIMEOUT_NS = (
-    3600_000_000_000  # nanoseconds that a request which goes out early may take to become whole
-)
-EARLY = 0.0005  # seconds by which a loop that counts in whole milliseconds may fire a timer too soon
-EVER = 16_384  # ids that were listed are remembered so: under 2 MB, however long they churn
-TIMER_RETRY = 1.0  # seconds until a timer that the module failed in is told again
+UPLOAD_TIMEOUT_NS = 3600_000_000_000  # for the body of a request that is forwarded while it is being received
+EARLY = 0.0005  # seconds by which an event loop with millisecond resolution may fire a timer too early
+EVER = 16_384  # most recently listed instance ids to remember: under 2 MB, whatever the churn
+TIMER_RETRY = 1.0  # seconds until a timer event on which the module raised is delivered again
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request until it is answered and all its attempts have come back."""
+    """The state of a request until it has been answered and all its attempts have ended."""
 
     incoming: Asked
     tier: Tier
     deadline: int
     reply: Callable[[Final], None]
-    attempts: list[Attempt | None] = field(default_factory=list)  # None: has come back
-    sent: list[int] = field(default_factory=list)
-    in_flight: int = 0
+    attempts: list[Attempt | None] = field(default_factory=list)  # by number; None: has ended
+    sent: list[int] = field(default_factory=list)  # when each attempt was started
+    in_flight: int = 0  # attempts that have not ended
     stage: Stage = Stage.WAITING
-    stream_started_at: int = 0  # when the long answer that its client is getting began
-    streaming: Attempt | None = None  # what brings that answer
+    stream_started_at: int = 0  # when the first part of a streamed answer arrived
+    streaming: Attempt | None = None  # the attempt whose answer is being streamed
     guard: asyncio.TimerHandle | None = None
-    client_has_left: Callable[[], bool] = lambda: False  # whether its client has left, be that read or not
+    client_has_left: Callable[[], bool] = lambda: False  # also true if the close has not been read yet
 
     @property
     def closed(self) -> bool:
-        """Whether it is answered to the end, or its client has gone."""
+        """Whether the answer is complete or the client has left."""
         return self.stage is Stage.OVER
 
 
 class Driver:
-    """Takes requests from the fronts and keeps them until they are answered and their attempts are back."""
+    """Tracks the requests of the front ends until they are answered and their attempts have ended."""
 
     def __init__(
         self,
@@ -94,24 +94,26 @@
         self.watch = watch
         self.ledger = pool.ledger
         self.tiers = [self.ledger.tier(c.name) for c in balancer.settings.classes]
-        self.kept_places: set[int] = set()  # of classes that a front names for as long as it runs
+        self.kept_places: set[int] = set()  # class positions that a front end uses for its whole lifetime
         self.jobs: dict[str, Job] = {}
         self.tenants = Tenants()
-        self.ready: set[int] = set()  # upstreams that the list held shows as running
-        self.listed_ever: dict[int, None] = {}  # ids, the latest told last; no more than EVER
-        self.informed = False  # discovery has spoken in this life
-        self.waits: Callable[[], bool] = lambda: False  # a feature wants no clients yet
+        self.ready: set[int] = set()  # upstreams that are ready according to the current list
+        self.listed_ever: dict[int, None] = {}  # ids, most recently listed last; at most EVER
+        self.informed = False  # discovery has answered since this process started
+        self.waits: Callable[[], bool] = lambda: False  # whether a feature is not ready for clients yet
         self.termination = Termination(self.ledger.occurrences)
         self.termination.settings_in_force(clock.monotonic_ns(), balancer.settings.classes)
 
     # ---- events ----
 
     def take_settings(self, new: Settings, narrow: bool = False) -> Settings:
-        """Others from now on; returns them with their classes at the places that the module gave them.
+        """Apply new settings; returns them with their classes at the positions that the module assigned.
 
-        Requests under way keep their terms; with `narrow` only what the new ones allow of them, too.
+        Open requests keep the terms of their class; with `narrow` they are further restricted to what the new
+        settings allow.
         """
-        # A request that the module has not seen yet is among the jobs: what it waits for may be this change.
+        # The jobs may include a request that the module has not seen yet: this change can be applied while
+        # the request is on its way to the module, so its class position must not be reused.
         held = self.kept_places.union(job.incoming.klass for job in self.jobs.values())
         self._deliver_event(self.balancer.on_settings, new, narrower if narrow else None, held)
         placed = self.balancer.settings
@@ -121,12 +123,12 @@
         return placed
 
     def terminate(self) -> None:
-        """The process is told to end: all that is open, and all that comes, is answered in its time."""
+        """Begin shutdown: limit the deadlines of open and of new requests to the time left to the process."""
         if self.termination.begin(self.clock.monotonic_ns()):
             self._shorten_deadlines()
 
     def _shorten_deadlines(self) -> None:
-        """Requests that are open keep only what the process's end leaves of their time."""
+        """Limit the deadlines of open requests and of their attempts to the process's shutdown deadline."""
         answer_by = self.termination.answer_by
         for job in self.jobs.values():
             if job.closed or job.deadline <= answer_by:
@@ -139,11 +141,11 @@
         self._deliver_event(self.balancer.on_termination, answer_by)
 
     def take_word(self, word: Word) -> None:
-        """What the fleet has agreed on beside the settings, from now on."""
+        """Apply what the fleet has agreed on besides the settings."""
         self._deliver_event(self.balancer.on_word, word)
 
     def start(self) -> None:
-        """The first event of the module."""
+        """Deliver the start event, the first that the module gets."""
         self._deliver_event(self.balancer.on_start)
 
     def submit(
@@ -153,9 +155,10 @@
         reply: Callable[[Final], None],
         gone: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Take a request; `reply` is called exactly once, unless the client goes first.
+        """Take a request; `reply` is called exactly once, unless the client disconnects first.
 
-        `gone` is asked before each attempt: whether its client has left and nobody has come to read that yet.
+        `gone` is called before each attempt is sent. It returns whether the client has disconnected even
+        though the event loop has not reported it yet.
         """
         deadline = self.termination.limit(
             arrived + (UPLOAD_TIMEOUT_NS if incoming.early else incoming.patience - RESPONSE_RESERVE_NS)
@@ -175,15 +178,19 @@
         self._deliver_event(self.balancer.on_request, request, job=job)
 
     def _set_deadline_timer(self, job: Job) -> None:
-        """Watch over its deadline, in place of an earlier one."""
+        """Start the timer for the request's deadline, replacing an earlier one."""
         if job.guard is not None:
             job.guard.cancel()
         left = job.deadline - self.clock.monotonic_ns()
-        # Rounded up: a timer that fires early would let the module begin once more in the last instant.
+        # Rounded up: if the timer fired early, the module could start another attempt just before the
+        # deadline.
         job.guard = self.loop.call_later(max(0, left) / 1e9 + 0.001, self._expire, job)
 
     def whole(self, request_id: str, arrived: int) -> None:
-        """The last byte of a request that went out early has come: its time, and its attempt's, begins."""
+        """The body of a request that was forwarded while being received is complete: its deadline starts now.
+
+        The durations of its attempts count from here, too.
+        """
         job = self.jobs.get(request_id)
         if job is not None and job.stage.may_be_answered:
             job.deadline = self.termination.limit(
@@ -193,21 +200,21 @@
             self._set_deadline_timer(job)
 
     def client_gone(self, request_id: str) -> None:
-        """The client of a request has left; one that is answered already is passed over."""
+        """The client of a request has disconnected; ignored if the request has been answered."""
         job = self.jobs.get(request_id)
         if job is not None and not job.closed:
             job.stage = Stage.OVER
             job.tier.end(None)
             self._keep_back(job)
             self._deliver_event(self.balancer.on_client_gone, request_id, job=job)
-            if job.streaming is not None:  # there is nowhere to pass it on to, may it be called off or not
+            if job.streaming is not None:  # nobody to stream to, even where settings forbid cancelling
                 job.streaming.give_up(Outcome.CANCELLED)
             self._forget(job)
 
     def apply(self, kind: ListKind, listed: list[Listed]) -> bool:
-        """Take over a list. Addresses first: what the module decides on it already goes by them.
+        """Apply a list of upstreams, to the pool first: the module's actions already need the new addresses.
 
-        False: the module failed over it and may hold only part of it.
+        Returns False if the module raised on it and may have applied only a part.
         """
         self.informed = self.informed or kind is not ListKind.CACHED
         listed = self.tenants.settle(kind is not ListKind.DELTA, listed)
@@ -229,29 +236,30 @@
         )
 
     def discovery_failed(self, end: CallEnd) -> None:
-        """A call for the list has ended without one."""
+        """A call to discovery has ended without a list."""
         if not self._deliver_event(self.balancer.on_list, ServerList(ListKind.FAILED, end=end)):
-            self.loop.call_later(TIMER_RETRY, self.discovery_failed, end)  # or nobody would ask again
+            # Without this event the module would not call discovery again.
+            self.loop.call_later(TIMER_RETRY, self.discovery_failed, end)
 
     def discovery_moved(self) -> None:
-        """Another discovery answers from now on."""
+        """The address of the discovery service has changed."""
         self._deliver_event(self.balancer.on_discovery_moved)
 
     def note_listed(self, number: int) -> None:
-        """Remember that a list showed this upstream, and forget the one that was shown longest ago."""
+        """Remember that this upstream was listed; beyond EVER, the one listed longest ago is forgotten."""
         self.listed_ever.pop(number, None)
         self.listed_ever[number] = None
         if len(self.listed_ever) > EVER:
             del self.listed_ever[next(iter(self.listed_ever))]
 
     def was_listed(self, number: int) -> bool:
-        """Whether a list ever showed it: all that are listed or banned now, and the latest EVER told of."""
+        """Whether it is listed or banned now, or among the last EVER that were listed."""
         return number in self.listed_ever or number in self.pool.upstreams or number in self.pool.banned
 
     def ban(self, number: int, at: int = 0) -> bool:
-        """By hand: nothing new to that upstream. False, and nothing changes: it was never listed.
+        """Send no new requests to an upstream, on an operator's order.
 
-        `at`: when, where it was not now.
+        Returns False, and changes nothing, if it was never listed. `at`: the time of the order, if not now.
         """
         if not self.was_listed(number):
             return False
@@ -260,7 +268,7 @@
         return True
 
     def end_ban(self, number: int, at: int = 0) -> bool:
-        """False: it was never listed."""
+        """Returns False if it was never listed. `at`: the time of the order, if not now."""
         if not self.was_listed(number):
             return False
         self.pool.ban(number, out=False)
@@ -272,10 +280,10 @@
         self.ready.discard(number)
 
     def _expire(self, job: Job) -> None:
-        """The client's time is over: what is out has timed out, and the client is told, whatever follows.
+        """The deadline has passed: its attempts in flight time out, and the client is answered in any case.
 
-        Also for one that is answered: where attempts may not be called off, a copy that never gets an
-        answer would stay for good, with its connection.
+        This also runs for a request that has been answered: where settings forbid cancelling attempts, a copy
+        that never gets an answer would otherwise hold its connection for ever.
         """
         if job.deadline == self.termination.answer_by and job.stage.may_be_answered:
             self._log_cut_short(job)
@@ -283,15 +291,16 @@
             if attempt is not None and attempt is not job.streaming:
                 attempt.give_up(Outcome.TIMEOUT)
         if job.in_flight:
-            # The ends come first: the module knows better whether the answer may be a refusal.
+            # The ends of the attempts are delivered first: from them the module can tell whether the request
+            # may be refused as not executed.
             self.loop.call_soon(self._answer_locally, job, LATE)
         else:
             self._answer_locally(job, LATE)
 
     def _log_cut_short(self, job: Job) -> None:
-        """A request whose client would have waited on, but the process has to end."""
+        """Log that a request timed out because of the shutdown, before its client's own deadline."""
         log.info(
-            "request %s: its time is over as the process has to end, %d attempts out",
+            "request %s: deadline cut short by the shutdown, %d attempts in flight",
             job.incoming.id,
             job.in_flight,
             extra={
@@ -301,7 +310,7 @@
         )
 
     def _stream_started(self, job: Job, number: int, end: End) -> None:
-        """A long answer has begun: it is the request's, whatever else comes."""
+        """The first part of a streamed answer has arrived: no other answer to the request counts any more."""
         attempt = job.attempts[number]
         assert attempt is not None
         if not job.stage.may_be_answered:
@@ -326,10 +335,8 @@
         job.in_flight -= 1
         ended_at = self.clock.monotonic_ns()
         if job.streaming is not None and attempt is job.streaming:
-            ended_at = (
-                job.stream_started_at
-            )  # until its first bytes: how fast the rest is read is its client's affair
-            job.streaming = None  # a cycle: job and attempt would wait for a collection with all they hold
+            ended_at = job.stream_started_at  # the rest is paced by the client and does not count
+            job.streaming = None  # breaks the reference cycle of job and attempt: no need for the GC
             if not job.closed:
                 job.stage = Stage.OVER
                 job.tier.end(How.SERVED if end.outcome is Outcome.OK else How.FAILED)
@@ -352,19 +359,19 @@
     def _deliver_event(
         self, method: Callable[..., list[Action]], *args: object, job: Job | None = None
     ) -> bool:
-        """One event to the module, and what it wants done.
+        """Deliver an event to the module and carry out the actions it returns.
 
-        Protects every other request from a fault in the module: this one fails, its attempts are
-        called off, and what the module had noted so far is carried out, so that its counts stay true.
-        Says whether the module did its part.
+        If the module raises, only the request of this event fails: it is answered and its attempts are
+        cancelled. The module is told that the request is over and returns the actions it had collected before
+        the fault, so that its counters stay correct. Returns whether the module handled the event.
         """
-        gate = self.pool.gate  # before the module decides: it is to know of rules that have run out
+        gate = self.pool.gate  # before the module decides: checks whether the rules have expired
         stamp = 0 if gate is None else gate.look()
         try:
             actions = method(self.clock.monotonic_ns(), *args)
         except Exception:
             log.exception(
-                "the module failed in %s",
+                "the decision module failed in %s",
                 method.__name__,
                 extra={"event": "module.failed", "fields": {"method": method.__name__}},
             )
@@ -375,18 +382,18 @@
         return True
 
     def _timer(self, token: str) -> None:
-        """Protects what the module does again and again, its watch among it, from ending with one fault."""
+        """Deliver a timer event; repeated if the module raises, as one fault would end its periodic work."""
         if not self._deliver_event(self.balancer.on_timer, token):
             self.loop.call_later(TIMER_RETRY, self._timer, token)
 
     def _do(self, actions: list[Action], stamp: int = 0) -> None:
-        """`stamp`: of the rules in force when they were decided, where there is a gate."""
+        """Carry out actions. `stamp`: of the rules they were decided under, where the pool has a gate."""
         for action in actions:
             if isinstance(action, Send):
                 self._send(action, stamp)
             elif isinstance(action, SetTimer):
-                # Never too soon: the module would find nothing due and ask for the same instant again, and
-                # the loop would spin until it comes.
+                # Never early: the module would find nothing due and set the timer for the same time again, so
+                # that the event loop would spin until then.
                 wait = max(0, action.at - self.clock.monotonic_ns()) / 1e9 + EARLY
                 self.loop.call_later(wait, self._timer, action.token)
             elif isinstance(action, Cancel):
@@ -410,7 +417,7 @@
         if action.timeout and not job.incoming.early:
             until = min(until, now + action.timeout)
         if job.closed:
-            until = 0  # nothing more goes out for it, yet the module gets its outcome
+            until = 0  # nothing is sent, but the module still gets an outcome
         ended = partial(self._ended, job, number, action.server)
         message = self.pool.carrier.words(job.incoming)
         attempt = self.pool.start(
@@ -423,18 +430,19 @@
             self.loop.call_later((until - now) / 1e9, self._attempt_timed_out, job, attempt)
 
     def _attempt_timed_out(self, job: Job, attempt: Attempt) -> None:
-        """Of one attempt, before its request's time is over: what has begun to answer is in time."""
+        """The time-out of one attempt, earlier than its request's deadline; a started answer is in time."""
         if attempt is not job.streaming:
             attempt.give_up(Outcome.TIMEOUT)
 
     def _wanted(self, job: Job) -> bool:
-        """Whether anybody waits for it as its first byte is about to go out.
+        """Whether the client still waits, checked just before an attempt is written.
 
-        Protects upstreams from work for nobody: a close may wait unread behind the timer, the answer or the
-        connect that led here, or where reading is paused.
+        Spares upstreams requests whose client has left: the client's close may be still unread, because the
+        event loop ran the timer, answer or connect that led here first, or because reading is paused.
         """
         if not job.closed and job.client_has_left():
-            self.loop.call_soon(self.client_gone, job.incoming.id)  # ahead of the end: none begins instead
+            # Runs before the attempt's end is delivered, so that the module does not start another one.
+            self.loop.call_soon(self.client_gone, job.incoming.id)
             return False
         return True
 
@@ -455,7 +463,7 @@
             self._forget(job)
 
     def _answer_locally(self, job: Job, final: Final) -> None:
-        """An answer that is this program's own: the module is told that the request is over."""
+        """Answer without an upstream or the module, which is told that the request is over."""
         if not job.stage.may_be_answered:
             return
         self._finish(job, final)
@@ -466,7 +474,7 @@
         self._forget(job)
 
     def _finish(self, job: Job, final: Final) -> None:
-        """The only place that gives a whole answer; `_began` is the only one that begins a long one."""
+        """The only place that gives a complete answer; `_stream_started` alone starts a streamed one."""
         if not job.stage.may_be_answered:
             self.ledger.occurrences.violated(Invariant.ONE_ANSWER, job.incoming.id)
             return
@@ -478,9 +486,9 @@
         job.reply(final)
 
     def answer_all(self) -> None:
-        """The process ends: what is open is answered now, and what still comes is refused.
+        """Answer all open requests now, at the end of the process; new requests are refused.
 
-        Answers may go out up to two rounds of the loop later.
+        The answers may be written up to two event loop iterations later.
         """
         self.termination.finish(self.clock.monotonic_ns())
         self._shorten_deadlines()
@@ -489,18 +497,20 @@
                 self._expire(job)
 
     def close(self) -> None:
-        """The process ends: what is still open is counted, and nobody answers it any more."""
+        """Count the requests that are still open as the process ends; they are no longer answered."""
         for job in self.jobs.values():
             if job.stage.may_be_answered:
                 self.termination.left_open(job.incoming.id)
 
     def _keep_back(self, job: Job) -> None:
+        """Withdraw attempts that are not fully written yet."""
         for attempt in job.attempts:
             if attempt is not None and not attempt.fully_written() and attempt is not job.streaming:
-                # That it does not go out is no calling off, which settings may forbid.
+                # Not a cancellation, which settings may forbid: the upstream has not got the request.
                 attempt.give_up(Outcome.CANCELLED)
 
     def _forget(self, job: Job) -> None:
+        """Drop the job if it is answered and none of its attempts is in flight."""
         if job.closed and not job.in_flight:
             self.jobs.pop(job.incoming.id, None)
             if job.guard is not None:
--- a/dykeshift/engine/http_carrier.py
+++ b/dykeshift/engine/http_carrier.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 towards upstreams: what the protocol page says an answer proves."""
+"""HTTP/1.1 to upstreams: maps answers to outcomes as the protocol page defines them."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 
 
 def read_report(answer: Answer) -> LoadReport | None:
+    """The load report in the X-Load header; None if it is missing or invalid."""
     text = answer.headers.get(b"x-load")
     if text is None:
         return None
@@ -24,19 +25,23 @@
         values = json.loads(text)
         return load_report({str(k): float(v) for k, v in values.items()})
     except (ValueError, TypeError, AttributeError, RecursionError):
-        return None  # a report that cannot be read says nothing; the answer still counts
+        return None  # an invalid report is ignored; the answer still counts
 
 
 def judge(answer: Answer) -> Outcome:
+    """The outcome that a complete answer proves."""
     if answer.status == 200:
         return Outcome.OK
-    # A bare 503 or 504 may come from something in between after the request ran: only the mark proves.
+    # A plain 503 or 504 may come from an intermediary after the request ran: only X-Not-Run proves that it
+    # did not.
     if answer.status in (503, 504) and answer.headers.get(b"x-not-run") == b"1":
         return Outcome.FULL
     return Outcome.ERROR
 
 
 class HttpCarrier:
+    """The `Carrier` for HTTP/1.1."""
+
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
         self.loop, self.clock = loop, clock
 
--- a/dykeshift/engine/link.py
+++ b/dykeshift/engine/link.py
@@ -1,4 +1,4 @@
-"""What all outgoing connections share, whatever is spoken on them: one message at a time, one end each."""
+"""The base of connections to upstreams, whatever their protocol: one exchange at a time."""
 
 from __future__ import annotations
 
@@ -11,29 +11,35 @@
 from dykeshift.engine.bodies import Long, Message, Upload
 
 
-WRITE_CHUNK_BYTES = 64 * 1024  # bytes
+WRITE_CHUNK_BYTES = 64 * 1024
 Buffer = bytes | bytearray | memoryview
 
 
 class Exchange(Protocol):
-    """Whoever sent the message; exactly one of the last two is called, once."""
+    """The sender of a message, which is notified of its progress.
+
+    Exactly one of `answered` and `broken` is called, once, unless the connection is closed from this side.
+    """
 
     def whole(self) -> None:
-        """The message's last byte has been handed over; before either of the two below, if at all."""
+        """The last byte of the message has been passed to the kernel; called before either end, if at all."""
 
     def began(self, answer: Any) -> None:
-        """The answer is a long one, and this its beginning; one of the two below follows."""
+        """The first part of a streamed answer has arrived; one of the two ends below follows."""
 
     def answered(self, answer: Any) -> None: ...
 
     def broken(self, written: bool) -> None:
-        """No whole answer will come; `written`: the message's last byte had been handed over."""
+        """The answer will not be completed; `written`: the whole message had been passed to the kernel."""
 
 
 class Link(asyncio.Protocol):
-    """A subclass reads what comes (`data_received`) and calls `_complete` or `_break`."""
+    """A connection to an upstream.
+
+    A subclass parses what arrives (`data_received`) and calls `_complete` or `_break`.
+    """
 
-    __slots__ = ()  # all are named by SLOTS in the subclass: two bases with slots of their own don't mix
+    __slots__ = ()  # the subclass declares SLOTS: two bases with non-empty slots cannot be combined
 
     SLOTS = (
         "loop",
@@ -55,12 +61,12 @@
     transport: asyncio.Transport | None
     exchange: Exchange | None
     idle_since: float
-    write_paused: bool  # a byte that was written could not be handed over yet
-    upload: Upload | None  # the message's body that is still to come
-    unwritten_body: deque[Buffer]  # what of a long body has not been written yet
-    stray: bool  # more came than one answer: nothing on it can be trusted
-    used: bool  # has brought an answer
-    fed: int  # bytes of the answer that is coming
+    write_paused: bool  # the transport still buffers bytes that were written to it
+    upload: Upload | None  # the rest of the message's body, which is still being received
+    unwritten_body: deque[Buffer]  # parts of a long body that are not written to the transport yet
+    stray: bool  # more than one answer arrived: the connection must not be reused
+    used: bool  # has been used for an earlier exchange
+    fed: int  # bytes of the current answer received so far
     on_idle: Callable[[Any], None]
     on_lost: Callable[[Any], None]
 
@@ -71,6 +77,7 @@
         on_idle: Callable[[Any], None],
         on_lost: Callable[[Any], None],
     ) -> None:
+        """Initialize the attributes; called by the subclass in place of `__init__`."""
         self.loop, self.clock = loop, clock
         self.on_idle, self.on_lost = on_idle, on_lost
         self.transport = self.exchange = None
@@ -83,29 +90,29 @@
 
     @property
     def unwritten(self) -> bool:
-        """Whether a byte of the message has not been handed over yet."""
+        """Whether part of the message has not been passed to the kernel yet."""
         return self.write_paused or self.upload is not None or bool(self.unwritten_body)
 
     def alive(self) -> bool:
         """Whether a message may be written to it.
 
-        Protects against a close that has arrived but that the event loop has not come to yet: a
-        request written then would end as a reset, which an unsafe request does not survive.
+        Also detects a close that has arrived but that the event loop has not processed yet: a request written
+        then would end as a reset, after which an unsafe request cannot be retried.
         """
         if self.transport is None or self.transport.is_closing() or self.stray:
             return False
         return not self.clock.has_input(self.transport)
 
     def send(self, data: Message, exchange: Exchange) -> None:
+        """Send a message; `exchange` is notified of its progress and its end."""
         assert self.transport is not None and self.exchange is None
         self.exchange, self.fed = exchange, 0
         if isinstance(data, Long):
             self.upload = data.upload
             self.transport.write(data.head)
             if data.body:
-                self.unwritten_body.append(
-                    memoryview(data.body)
-                )  # it stays whole: it may have to be sent again
+                # A view: the body itself is kept, as it may have to be sent again.
+                self.unwritten_body.append(memoryview(data.body))
                 self._write_body()
             if data.upload is not None:
                 data.upload.go(self)
@@ -115,26 +122,26 @@
         self._report_if_written()
 
     def more(self, data: bytes | bytearray) -> bool:
+        """Send the next part of an upload; returns whether more may be passed at once."""
         if data:
             self.unwritten_body.append(data)
             self._write_body()
         return not self.write_paused
 
     def last(self) -> None:
+        """The upload is complete."""
         self.upload = None
         self._report_if_written()
 
     def _write_body(self) -> None:
-        """Piece by piece: a transport copies what it could not write, and would copy a long body whole."""
+        """Write the body in chunks: a transport copies what it cannot send, even a whole long body."""
         while self.unwritten_body and not self.write_paused and self.transport is not None:
             data = self.unwritten_body[0]
             chunk = bytes(data[:WRITE_CHUNK_BYTES])
             if len(data) <= WRITE_CHUNK_BYTES:
                 self.unwritten_body.popleft()
             elif isinstance(data, bytearray):
-                del data[
-                    :WRITE_CHUNK_BYTES
-                ]  # from its front: costs nothing, and half of it gone gives memory back
+                del data[:WRITE_CHUNK_BYTES]  # cheap at the front; memory is freed once half is gone
             else:
                 self.unwritten_body[0] = memoryview(data)[WRITE_CHUNK_BYTES:]
             self.transport.write(chunk)
@@ -144,15 +151,16 @@
             self.exchange.whole()
 
     def close(self) -> None:
-        """Give up whatever is on it; the exchange hears nothing any more."""
+        """Abort the connection; the current exchange is not notified."""
         self.exchange = None
         self._discard_body()
         self._abort()
 
     def _abort(self) -> None:
-        """Let the connection go, once; its descriptor is free before any task that begins now runs.
+        """Abort the transport, once; its descriptor is free before any task that is created now runs.
 
-        Told before the exchange is: what is sent again at once finds the place of what has just broken.
+        `on_lost` is called before the exchange is notified: a retry at the connection limit can then use the
+        slot of the connection that has just broken.
         """
         if self.transport is not None:
             transport, self.transport = self.transport, None
@@ -163,7 +171,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        # Written through at once, and pause_writing tells as soon as a byte could not be handed over.
+        # With high=0, pause_writing is called as soon as the transport has to buffer a byte.
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
@@ -179,7 +187,7 @@
         self._report_if_written()
 
     def _discard_body(self) -> None:
-        """Of a body that is still coming: it goes nowhere now, and its client may send on."""
+        """Drop the rest of the body and resume reading from the client, whose further data is discarded."""
         if self.upload is not None:
             self.upload.source.hold(False)
         self.unwritten_body.clear()
@@ -190,6 +198,7 @@
     # ---- the end of an exchange ----
 
     def _complete(self, answer: Any, reuse: bool) -> None:
+        """The answer is complete; with `reuse` the connection becomes idle, else it is aborted."""
         exchange, self.exchange = self.exchange, None
         if reuse:
             self.used = True
@@ -201,6 +210,7 @@
             exchange.answered(answer)
 
     def _break(self) -> None:
+        """The answer will not be completed: abort the connection and notify the exchange."""
         exchange, self.exchange = self.exchange, None
         self._discard_body()
         self._abort()
--- a/dykeshift/engine/tenants.py
+++ b/dykeshift/engine/tenants.py
@@ -1,8 +1,8 @@
-"""Who lives at which address, by what discovery has told: at most one at each.
+"""Which server holds which address (its tenant), according to discovery: at most one server per address.
 
-Discovery may list a new server at an address while it still lists the one that was there before. Two
-processes cannot listen at one address, so the one that started earlier is gone, whatever the list says:
-what is sent "to it" reaches the other, in another cell perhaps, which knows nothing of its requests.
+Discovery may list a new server at an address while it still lists the previous one. Two processes cannot
+listen at one address, so the one that started earlier is gone, whatever the list says: a request sent to it
+would reach the new server, perhaps in another cell, which does not know the keys of earlier requests.
 """
 
 from __future__ import annotations
@@ -18,19 +18,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """An entry of the list and where it lives, for this balancer."""
+    """An entry of the list of upstreams with its address."""
 
     entry: ServerEntry
     address: Address
 
 
 class Tenants:
+    """The tenant of each address."""
+
     def __init__(self) -> None:
         self.at: dict[Address, ServerEntry] = {}
-        self.home: dict[int, Address] = {}
+        self.home: dict[int, Address] = {}  # the address of each server that is not gone
 
     def settle(self, whole: bool, listed: Iterable[Listed]) -> list[Listed]:
-        """The update with those marked gone whose address has passed to a later process."""
+        """Returns the update with servers marked gone whose address a later process has taken over."""
         if whole:
             self.at.clear()
             self.home.clear()
@@ -44,16 +46,16 @@
         return settled
 
     def _place(self, one: Listed) -> list[Listed]:
-        there = self.at.get(one.address)
-        if there is None or there.id == one.entry.id:
+        tenant = self.at.get(one.address)
+        if tenant is None or tenant.id == one.entry.id:
             self._occupy(one)
             return [one]
-        if there.started > one.entry.started:  # it is the earlier one itself that is listed once more
+        if tenant.started > one.entry.started:  # the previous tenant is listed again
             self._leave(one.entry.id)
             return [self._gone(one.entry)]
-        self._leave(there.id)
+        self._leave(tenant.id)
         self._occupy(one)
-        return [self._gone(there), one]
+        return [self._gone(tenant), one]
 
     def _occupy(self, one: Listed) -> None:
         if self.home.get(one.entry.id) != one.address:
--- a/dykeshift/engine/upstream.py
+++ b/dykeshift/engine/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to the upstreams, and how one attempt on them ends; what is spoken on them is a carrier's."""
+"""The pool of connections to the upstreams and the attempts on them; a `Carrier` speaks the protocol."""
 
 from __future__ import annotations
 
@@ -19,60 +19,60 @@
 
 log = logging.getLogger(__name__)
 
-KEEPALIVE_SHARE = (
-    0.8  # of the keepalive: a connection idle for longer is closed, well before the upstream does it
-)
-DUPLICATE_ANSWER_WINDOW_S = (
-    0.01  # seconds without use after which a second answer to the last request has come, if ever
-)
-SWEEP_INTERVAL_S = 0.5  # seconds between two looks for such connections
-MAX_BREAK_RATE, PRIOR_REUSES = (
-    0.15,
-    10,
-)  # part of the reuses, and of so many more, that may break at some idle time
-DECAY = 0.9  # what is left of those counts after each look
+KEEPALIVE_SHARE = 0.8  # of the keepalive: longer idle connections are closed, before the upstream does so
+DUPLICATE_ANSWER_WINDOW_S = 0.01  # seconds within which an upstream may send a duplicate answer to a request
+SWEEP_INTERVAL_S = 0.5  # seconds between two checks for connections idle for too long
+# A connection is not reused after an idle time at which this share of the reuses has failed, with so many
+# successful reuses added to the observed ones: some connections break at any age, and a new one costs, too.
+MAX_BREAK_RATE, PRIOR_REUSES = 0.15, 10
+DECAY = 0.9  # factor on those counts at each check
 
 
 @dataclass(slots=True, eq=False)
 class Upstream:
-    """One process of an upstream: a restart makes a new one, and no attempt moves between them."""
+    """One process of an upstream: after a restart it is a new object, and attempts stay with the old one."""
 
     address: Address
     started: int
     listed_ready: bool
-    open_to_new: bool = False  # neither draining, gone, replaced nor out by hand
+    open_to_new: bool = False  # neither draining, gone, replaced nor banned
     idle: list[Link] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class End:
+    """How an attempt ended, or, with `more`, that its streamed answer has started."""
+
     outcome: Outcome
     report: LoadReport | None = None
-    answer: Any = None  # where it is served: what the front hands to its client
-    more: bool = False  # this is its beginning: the end follows
+    answer: Any = None  # if served: what the front end passes to its client
+    more: bool = False  # the answer has only started: the end follows
 
 
 class Gate(Protocol):
-    """Whether the rules that something was decided by are still in force."""
+    """Tells whether the rules that a decision was based on are still in force."""
 
     def look(self) -> int:
-        """A stamp that is another once other rules are. It asks this process's own clock, at every call."""
+        """The stamp of the rules in force; it changes with them. Reads this process's clock at each call."""
 
 
 class Carrier(Protocol):
-    """A protocol towards upstreams: opens its connections and knows what an answer on one proves."""
+    """A protocol spoken to upstreams: makes its connections and maps answers to outcomes."""
 
     def connection(self, on_idle: Callable[[Any], None], on_lost: Callable[[Any], None]) -> Link: ...
 
     def words(self, asked: Asked) -> Callable[[int], Message]:
-        """How a request is put to an upstream that may take so many nanoseconds."""
+        """Returns the encoder of a request: called with the nanoseconds left to the upstream."""
 
     def end(self, answer: Any) -> End:
-        """What a whole answer means. That none came is told by the connection itself."""
+        """The outcome of a complete answer. A missing one is reported by the connection."""
 
 
 class Attempt:
-    """Written at most once; ends once, never within the call that starts it or gives it up."""
+    """One send of a request to one upstream; the `Exchange` of its connection.
+
+    It is written at most once. It ends exactly once, never within the call that starts it or gives it up.
+    """
 
     __slots__ = (
         "pool",
@@ -103,27 +103,25 @@
     ) -> None:
         self.pool = pool
         self.upstream = upstream
-        self.message = message  # the request, told how many nanoseconds are left
-        self.until = until
-        self.begin_by = begin_by
-        self.stamp = stamp  # of the rules that it was decided by
-        self.wanted = wanted  # whether anybody still waits for it
+        self.message = message  # encodes the request, given the nanoseconds left
+        self.until = until  # its deadline
+        self.begin_by = begin_by  # the end of its key's window; 0: none
+        self.stamp = stamp  # of the rules that it was decided under
+        self.wanted = wanted  # whether the client still waits for it
         self.ended = ended
         self.connection: Link | None = None
-        self.idle_before: float | None = (
-            None  # seconds that its connection had not been used; None: a new one
-        )
+        self.idle_before: float | None = None  # idle seconds of its reused connection; None: a new one
         self.written_at = 0.0
         self.over = False
-        self.stream_end: End | None = None  # a long answer has; what will be its end, if it comes whole
+        self.stream_end: End | None = None  # once an answer is streamed: its end, if it completes
 
     def write(self, connection: Link) -> bool:
-        """Send it, unless that is no longer wanted or allowed; says whether the connection was used.
+        """Send the request if that is still wanted and allowed; returns whether the connection was used.
 
-        Protects the drain rule, cancels, deadlines and the windows of keys: while a connect was waited
-        for, the request may have been answered elsewhere, been left by its client or run out of time, and
-        the upstream may have begun to drain. Where the fleet agrees on rules, the process may have stood
-        still since it decided.
+        The check enforces drains, cancellations, deadlines and the windows of keys. During the connect the
+        request may have been answered elsewhere, lost its client or passed its deadline, and the upstream may
+        have begun to drain. Where the fleet agrees on rules, the process may also have been paused since the
+        decision.
         """
         if self.over:
             return False
@@ -131,7 +129,7 @@
         reason = self._reason_not_to_send(now)
         if reason is not None:
             self.pool.ledger.occurrences.kept_back[reason] += 1
-            # Later, not now: whoever starts the attempt does not have it yet and could not place its end.
+            # Not within this call: the caller of `Pool.start` does not have the attempt yet.
             self.pool.loop.call_soon(self.finish, End(Outcome.NOT_SENT))
             return False
         self.connection, self.written_at = connection, self.pool.loop.time()
@@ -142,9 +140,9 @@
         return True
 
     def _reason_not_to_send(self, now: int) -> KeptBack | None:
-        """Why it may not begin at this instant; None: it may. The one place that decides it.
+        """Why the attempt may not be written now; None: it may. The only place that decides this.
 
-        The client is asked last: that costs a system call.
+        The client is checked last, as that costs a system call.
         """
         gate = self.pool.gate
         if gate is not None and gate.look() != self.stamp:
@@ -158,17 +156,21 @@
         return None if self.wanted() else KeptBack.CLIENT_GONE
 
     def _withdraw_if_unsent(self) -> None:
-        """Protects the windows of keys: what is not whole at an upstream by then would be later, where its
-        key may be forgotten. It can't have run."""
+        """Withdraw a request that is not fully written when the window of its key ends.
+
+        It would be complete at the upstream only later, when the key may be forgotten there. A partly written
+        request cannot have run.
+        """
         if not self.over and not self.fully_written() and self.connection is not None:
             self.connection.close()
             self.finish(End(Outcome.NOT_SENT))
 
     def fully_written(self) -> bool:
-        """Whether all of it has been handed over: what has not can't run, and may still be kept back."""
+        """Whether the kernel has all of it; if not, it cannot run yet and may still be withdrawn."""
         return self.connection is not None and not self.connection.unwritten
 
     def give_up(self, outcome: Outcome) -> None:
+        """End it without an answer and close its connection; if it was never written, as NOT_SENT."""
         if self.over:
             return
         if self.connection is None:
@@ -190,12 +192,12 @@
 
     def began(self, answer: Any) -> None:
         end = self.pool.carrier.end(answer)
-        if end.outcome is not Outcome.OK:  # what is long about it is of no use to anybody
+        if end.outcome is not Outcome.OK:  # an error: the rest of its answer is not needed
             if self.connection is not None:
                 self.connection.close()
             self.finish(end)
         elif not self.over:
-            self.stream_end = End(end.outcome, end.report)  # without the answer, which nobody here keeps
+            self.stream_end = End(end.outcome, end.report)  # without the answer, so that it is not kept here
             self.ended(End(end.outcome, end.report, answer, more=True))
 
     def answered(self, answer: Any) -> None:
@@ -210,10 +212,11 @@
 
 
 class Staleness:
-    """After which time without use connections turn out dead, by powers of two of a millisecond.
+    """After which idle time reused connections turn out dead, in buckets of powers of two of a millisecond.
 
-    Protects against upstreams, or what stands before them, that forget idle connections long before
-    the time they state: a request written to one ends as a reset, which an unsafe one does not survive.
+    Upstreams, or middleboxes before them, may drop idle connections long before the keepalive time that they
+    state. A request written to such a connection ends as a reset, after which an unsafe one cannot be
+    retried.
     """
 
     def __init__(self) -> None:
@@ -229,20 +232,19 @@
         self.broken[bucket] += broke
 
     def may_reuse(self, idle_s: float) -> bool:
-        # Doubt: some connections break at any age, and a new one has its price too.
         return all(
             self.broken[n] < MAX_BREAK_RATE * (self.reuses[n] + PRIOR_REUSES)
             for n in range(self._bucket(idle_s) + 1)
         )
 
     def decay(self) -> None:
-        """What is not reused shows no more whether it would break: tried again after some seconds."""
+        """Age the counts: an idle time that is avoided gives no data, so it is tried again in seconds."""
         for counts in (self.reuses, self.broken):
             counts[:] = [count * DECAY for count in counts]
 
 
 class Pool:
-    """Bounded: all connections together never exceed `limit`, whatever is asked for."""
+    """The connections to all upstreams; there are never more than `limit` in total."""
 
     def __init__(
         self,
@@ -262,14 +264,14 @@
         self.connect_timeout = connect_timeout
         self.keepalive = keepalive * KEEPALIVE_SHARE
         self.upstreams: dict[int, Upstream] = {}
-        self.banned: set[int] = set()  # out by hand
-        self.gate: Gate | None = None  # where the fleet agrees on its rules
+        self.banned: set[int] = set()  # by operators
+        self.gate: Gate | None = None  # set where the fleet agrees on its rules
         self.staleness = Staleness()
         self.open = 0
         self.connecting: set[asyncio.Task[None]] = set()
         self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
-    # ---- what discovery tells ----
+    # ---- changes of the list of upstreams ----
 
     def put(self, number: int, address: Address, started: int, ready: bool) -> None:
         known = self.upstreams.get(number)
@@ -280,7 +282,7 @@
         self._update_open_to_new(number)
 
     def ban(self, number: int, out: bool) -> None:
-        """By hand: what waits for a connection to it is taken back, kept connections are closed."""
+        """Set or lift a ban; it withdraws attempts that wait for a connection and closes idle connections."""
         (self.banned.add if out else self.banned.discard)(number)
         self._update_open_to_new(number)
 
@@ -309,9 +311,10 @@
         stamp: int = 0,
         wanted: Callable[[], bool] = lambda: True,
     ) -> Attempt:
-        """`stamp`: of the rules that it was decided by, where there is a gate.
+        """Start an attempt, on an idle connection or on a new one; `ended` gets its end.
 
-        `wanted` is asked as its first byte is about to go out.
+        `stamp`: of the rules that it was decided under, where there is a gate. `wanted` is called just before
+        the first byte is written and returns whether the client still waits.
         """
         upstream = self.upstreams.get(number) or Upstream(("", 0), 0, listed_ready=False)
         attempt = Attempt(self, upstream, message, until, ended, begin_by, stamp, wanted)
@@ -341,13 +344,13 @@
         return None
 
     def _pop_least_risky(self, idle: list[Link]) -> Link:
-        """The latest used of those that have rested, else the latest used.
+        """The last used of those idle for DUPLICATE_ANSWER_WINDOW_S or longer, else the last used of all.
 
-        Protects against an upstream that answers a request twice, the second time some milliseconds later:
-        on a connection in use again by then it would be taken for the answer to the next request.
+        An upstream may answer a request twice, the second time some milliseconds later. On a connection that
+        is in use again by then, the duplicate would be taken for the answer to the next request.
         """
-        rested = self.loop.time() - DUPLICATE_ANSWER_WINDOW_S
-        found = next((n for n in range(len(idle) - 1, -1, -1) if idle[n].idle_since <= rested), -1)
+        idle_before = self.loop.time() - DUPLICATE_ANSWER_WINDOW_S
+        found = next((n for n in range(len(idle) - 1, -1, -1) if idle[n].idle_since <= idle_before), -1)
         return idle.pop(found)
 
     def _room(self) -> bool:
@@ -356,25 +359,25 @@
         most_idle = max(self.upstreams.values(), key=lambda u: len(u.idle), default=None)
         if most_idle is None or not most_idle.idle:
             return False
-        most_idle.idle.pop(0).close()  # its descriptor is free before the new connection comes up
+        most_idle.idle.pop(0).close()  # its descriptor is free before the new connection is open
         return True
 
     async def _connect(self, attempt: Attempt) -> None:
         upstream, counted = attempt.upstream, True
 
         def release() -> None:
-            """Protects the limit: a connect that is given up as it comes up may end in both ways below."""
+            """Count the connection out once: a connect abandoned as it completes ends in both ways below."""
             nonlocal counted
             self.open -= counted
             counted = False
 
-        def idle(connection: Link) -> None:
+        def on_idle(connection: Link) -> None:
             if upstream.open_to_new:
                 upstream.idle.append(connection)
             else:
                 connection.close()
 
-        def lost(connection: Link) -> None:
+        def on_lost(connection: Link) -> None:
             release()
             if connection in upstream.idle:
                 upstream.idle.remove(connection)
@@ -382,27 +385,30 @@
         try:
             async with asyncio.timeout(self.connect_timeout):
                 _, connection = await self.loop.create_connection(
-                    lambda: self.carrier.connection(idle, lost), *upstream.address
+                    lambda: self.carrier.connection(on_idle, on_lost), *upstream.address
                 )
         except Exception as exc:
             if not isinstance(exc, OSError):  # a TimeoutError is one
-                log.exception("a connect failed", extra={"event": "upstream.connect-failed"})
+                log.exception(
+                    "unexpected error while connecting to an upstream",
+                    extra={"event": "upstream.connect-failed"},
+                )
             release()
             attempt.finish(End(Outcome.CONNECT_FAILED))
             return
-        if not connection.alive():  # came up and broke at once: a request written to it might have run
+        if not connection.alive():  # already broken: a request written to it might still have run
             connection.close()
             attempt.finish(End(Outcome.CONNECT_FAILED))
         elif not attempt.write(connection):
-            idle(connection)
+            on_idle(connection)
 
     # ---- upkeep ----
 
     def close_idle_since(self, upstream: Upstream, since: float) -> None:
-        """An attempt had no answer: drop the connections that have been silent as long.
+        """Close idle connections last used at or before `since`, when an attempt written then has timed out.
 
-        Protects against a machine that vanished: on a connection from before, a request only times
-        out, and may have run; a new connect that does not come up proves that the next one never ran.
+        The machine may have vanished: on an old connection the next request would only time out, and might
+        have run, whereas a failed connect proves that it never ran.
         """
         for connection in [c for c in upstream.idle if c.idle_since <= since]:
             upstream.idle.remove(connection)
@@ -414,6 +420,7 @@
         upstream.idle.clear()
 
     def sweep(self) -> None:
+        """Close connections that have been idle for too long; runs every SWEEP_INTERVAL_S seconds."""
         self.staleness.decay()
         stale = self.loop.time() - self.keepalive
         for upstream in self.upstreams.values():
