--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -1,4 +1,4 @@
-"""The list: what is asked, what is taken over, and what a broken call or update does."""
+"""The discovery client: its requests, the lists it applies, failed calls and invalid lists."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 from tests.node.stubs import Node, Registry, Stub, node, run, says, settings, until
 
 
-def listen(balancer: Node) -> list[ServerList]:
-    """All lists that reach the module from here on."""
-    heard: list[ServerList] = []
+def record_lists(balancer: Node) -> list[ServerList]:
+    """Record all list events that the decision module gets from now on."""
+    events: list[ServerList] = []
     module = balancer.front.driver.balancer
-    told = module.on_list
+    original = module.on_list
 
     def on_list(now: int, update: ServerList) -> list[Action]:
-        heard.append(update)
-        return told(now, update)
+        events.append(update)
+        return original(now, update)
 
     module.on_list = on_list  # type: ignore[method-assign]
-    return heard
+    return events
 
 
 def fail_once(balancer: Node) -> None:
-    """The module fails over the next list, and over no other."""
+    """Make the decision module raise on the next list, and on no other."""
     module = balancer.front.driver.balancer
-    sound = module.on_list
+    original = module.on_list
 
     def faulty(now: int, update: ServerList) -> list[Action]:
-        module.on_list = sound  # type: ignore[method-assign]
+        module.on_list = original  # type: ignore[method-assign]
         raise RuntimeError("planted")
 
     module.on_list = faulty  # type: ignore[method-assign]
 
 
-def test_a_watch_goes_on_from_each_answer() -> None:
+def test_a_watch_continues_from_the_generation_of_each_answer() -> None:
     async def main() -> None:
         old, new = await Stub(says(answer(b"old"))).start(), await Stub(says(answer(b"new"))).start()
         async with node(old) as balancer:
@@ -64,7 +64,7 @@
     run(main())
 
 
-def test_a_whole_list_removes_who_is_not_on_it() -> None:
+def test_a_full_list_removes_upstreams_that_are_not_on_it() -> None:
     async def main() -> None:
         old, new = await Stub(says(answer(b"old"))).start(), await Stub(says(answer(b"new"))).start()
         async with node(old) as balancer:
@@ -86,13 +86,13 @@
             # Started long enough ago to be warm, so that nothing but the address matters here.
             started = time.time_ns() // 1_000_000 - 60_000
             balancer.registry.put(listing(2, False, instance("s0", new.address, startedAtMs=started)))
-            await until(lambda: old.lost == 1)  # its warm connection is of no use any more
+            await until(lambda: old.lost == 1)  # its idle connection is closed
             assert (await balancer.ask(request(rid="r1"))).body == b"new"
 
     run(main())
 
 
-BROKEN: list[Any] = [
+INVALID_LISTS: list[Any] = [
     [],
     {},
     None,
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize(
     "reply",
     [
-        *(answer(json.dumps(b).encode()) for b in BROKEN),
+        *(answer(json.dumps(b).encode()) for b in INVALID_LISTS),
         answer(b"{"),
         answer(b"[" * 60_000),
         b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
@@ -121,16 +121,16 @@
         answer(b"", "404 Not Found"),
     ],
 )
-def test_a_broken_update_is_dropped_told_as_failed_and_asked_for_again(reply: bytes) -> None:
+def test_an_invalid_update_is_ignored_reported_as_failed_and_requested_again(reply: bytes) -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         changed = settings()
         changed["obligations"]["askEveryNs"] = 100_000_000
         async with node(stub, settings=changed) as balancer:
-            heard = listen(balancer)
+            events = record_lists(balancer)
             balancer.registry.replies.put_nowait(reply)
-            await until(lambda: bool(heard))
-            assert heard[0].kind is ListKind.FAILED
+            await until(lambda: bool(events))
+            assert events[0].kind is ListKind.FAILED
             await until(lambda: len(balancer.registry.paths) == 2)
             assert "from=1&" in balancer.registry.paths[1]
             assert (await balancer.ask(request())).body == b"done"
@@ -138,7 +138,7 @@
     run(main())
 
 
-def test_a_list_that_the_module_fails_over_is_asked_for_whole() -> None:
+def test_after_the_module_raises_on_a_list_the_full_list_is_requested() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         changed = settings()
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("known", [None, {}, [], {"generation": 1, "reset": True, "instances": [{}]}])
-def test_without_a_sound_known_list_the_whole_one_is_asked_for(known: Any) -> None:
+def test_without_a_valid_cached_list_the_full_list_is_requested(known: Any) -> None:
     async def main() -> None:
         async with node(known=known) as balancer:
             await until(lambda: len(balancer.registry.paths) == 1)
@@ -162,74 +162,77 @@
     run(main())
 
 
-def test_a_watch_that_falls_silent_is_begun_anew_before_the_list_is_old() -> None:
-    """A watch was waited for through 22 s, while servers went that the list still showed."""
+def test_an_unanswered_watch_is_restarted_before_the_list_is_outdated() -> None:
+    """Otherwise a watch may wait 22 s for an answer while servers leave that the list still shows."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
             began = time.monotonic()
-            await until(lambda: len(balancer.registry.paths) == 2)  # the first got no answer at all
+            await until(lambda: len(balancer.registry.paths) == 2)  # the first call got no answer
             assert time.monotonic() - began < 10
             hold = int(balancer.registry.paths[0].partition("hold_ms=")[2])
-            assert hold / 1000 + ANSWER_TIMEOUT_S <= 4.0  # what there is to tell counts as told soon after
+            assert hold / 1000 + ANSWER_TIMEOUT_S <= 4.0  # a change counts as announced soon after
 
     run(main())
 
 
-def test_what_discovery_has_is_heard_before_it_counts_as_told() -> None:
-    """The whole chain: notice, pause, connect and an answer that takes all the time it may."""
-    told, hold = TOLD / 1e9, HOLD_MS / 1e3
-    assert hold + QUIET + SPREAD * told + ANSWER_TIMEOUT_S <= told  # a watch that fell silent
-    assert (
-        hold + ANSWER_TIMEOUT_S <= UNANSWERED[0] * told
-    )  # the next call is begun at its time, not after this one's
-    assert UNANSWERED[1] * told < told  # a call that was begun just before discovery came back
+def test_a_change_reaches_the_balancer_before_it_counts_as_announced() -> None:
+    """The longest chain: time-out, pause, connect, and an answer that takes all the time it may."""
+    announced, hold = TOLD / 1e9, HOLD_MS / 1e3
+    assert hold + QUIET + SPREAD * announced + ANSWER_TIMEOUT_S <= announced  # an unanswered watch
+    # The next call is not delayed by this one.
+    assert hold + ANSWER_TIMEOUT_S <= UNANSWERED[0] * announced
+    assert UNANSWERED[1] * announced < announced  # a call made just before discovery came back
 
 
-WHOLE = answer(json.dumps(listing(2, True)).encode())
+FULL_LIST = answer(json.dumps(listing(2, True)).encode())
 
 
 @pytest.mark.parametrize(
     ("replies", "end"),
     [
-        ([WHOLE], CallEnd.BROKEN),  # and then it falls silent
-        ([WHOLE, answer(b"", "503 Service Unavailable")], CallEnd.BROKEN),
-        ([WHOLE, answer(b"{")], CallEnd.BROKEN),
+        ([FULL_LIST], CallEnd.BROKEN),  # the second call is not answered
+        ([FULL_LIST, answer(b"", "503 Service Unavailable")], CallEnd.BROKEN),
+        ([FULL_LIST, answer(b"{")], CallEnd.BROKEN),
         ([], CallEnd.UNANSWERED),
         ([answer(b"", "503 Service Unavailable")], CallEnd.UNANSWERED),
     ],
 )
-def test_the_module_hears_how_a_call_to_discovery_ended(replies: list[bytes], end: CallEnd) -> None:
-    """calm+brink: all watches that had worked fell silent, and were asked anew 7.4 to 8 s after that."""
+def test_the_module_is_told_how_a_call_to_discovery_ended(replies: list[bytes], end: CallEnd) -> None:
+    """The pause before the next call depends on it.
+
+    In a simulated scenario (calm+brink) all working watches became silent, and were requested again only 7.4
+    to 8 s later.
+    """
 
     async def main() -> None:
         async with node() as balancer:
-            heard = listen(balancer)
+            events = record_lists(balancer)
             for reply in replies:
                 balancer.registry.replies.put_nowait(reply)
-            await until(lambda: any(update.kind is ListKind.FAILED for update in heard))
-            assert heard[-1].end is end
+            await until(lambda: any(update.kind is ListKind.FAILED for update in events))
+            assert events[-1].end is end
 
     run(main())
 
 
-def test_the_module_hears_that_no_connection_to_discovery_came_up() -> None:
+def test_the_module_is_told_that_no_connection_to_discovery_could_be_made() -> None:
     async def main() -> None:
         gone = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
         address = gone.sockets[0].getsockname()
         gone.close()
         async with node() as balancer:
-            heard = listen(balancer)
+            events = record_lists(balancer)
             balancer.reload.discovery.move(address)
             balancer.front.driver.discovery_moved()
-            await until(lambda: bool(heard))
-            assert [update.end for update in heard] == [CallEnd.UNREACHED]
+            await until(lambda: bool(events))
+            assert [update.end for update in events] == [CallEnd.UNREACHED]
 
     run(main())
 
 
-def test_a_call_that_the_module_fails_over_is_made_again() -> None:
+def test_a_failed_call_is_repeated_though_the_module_raises_on_its_end() -> None:
     async def main() -> None:
         async with node() as balancer:
             fail_once(balancer)
@@ -239,17 +242,17 @@
     run(main())
 
 
-def test_pushed_lists_are_watched_without_being_asked_to() -> None:
+def test_pushed_lists_are_watched_without_a_request_of_the_module() -> None:
     async def main() -> None:
         async with node(settings=settings(discovery="push")) as balancer:
             await until(lambda: len(balancer.registry.paths) == 1)
             balancer.registry.replies.put_nowait(answer(b"", "503 Service Unavailable"))
-            await until(lambda: len(balancer.registry.paths) == 2)  # an agent is simply asked again
+            await until(lambda: len(balancer.registry.paths) == 2)  # the local agent is called again at once
 
     run(main())
 
 
-def test_starts_are_told_on_the_modules_clock() -> None:
+def test_start_times_are_converted_to_the_monotonic_clock() -> None:
     reader = Reader(SYSTEM, ("a",), ("m",))
     began = time.time_ns() // 1_000_000 - 3000
     _, _, rows = reader.read(
@@ -268,31 +271,31 @@
 
 
 @pytest.mark.parametrize("way", ["ask", "push"])
-def test_a_watch_ended_by_a_move_is_no_failure(way: str) -> None:
+def test_a_watch_ended_by_a_change_of_address_is_not_reported_as_a_failure(way: str) -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         other = await Registry().start()
         async with node(stub, settings=settings(discovery=way)) as balancer:
             await until(lambda: len(balancer.registry.paths) == 1)
-            heard = listen(balancer)
+            events = record_lists(balancer)
             balancer.move(other)
             await until(lambda: len(other.paths) == 1)
             other.put(listing(1, True, instance("s0", stub.address)))
             await until(lambda: len(other.paths) == 2)
-            assert [update.kind for update in heard] == [ListKind.FULL]
+            assert [update.kind for update in events] == [ListKind.FULL]
             assert len(balancer.registry.paths) == 1
 
     run(main())
 
 
-def test_a_move_ends_the_pause_after_a_failure() -> None:
+def test_a_change_of_address_ends_the_pause_after_a_failure() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         other = await Registry().start()
         async with node(stub) as balancer:
-            heard = listen(balancer)
+            events = record_lists(balancer)
             balancer.registry.replies.put_nowait(answer(b"", "503 Service Unavailable"))
-            await until(lambda: bool(heard))
+            await until(lambda: bool(events))
             balancer.move(other)
             await until(lambda: other.paths == ["/v1/endpoints"])
             assert balancer.front.driver.balancer.in_vain == 0 and len(balancer.registry.paths) == 1
@@ -300,8 +303,11 @@
     run(main())
 
 
-def test_the_watch_on_the_discovery_before_goes_on_until_the_new_one_speaks() -> None:
-    """SIGHUP crossed an update, or the new one turned callers away for seconds: what drained got requests."""
+def test_the_watch_at_the_previous_address_continues_until_the_new_one_answers() -> None:
+    """Otherwise draining servers get requests.
+
+    An update may cross the SIGHUP, or the new discovery may refuse calls for seconds.
+    """
 
     async def main() -> None:
         stubs = [await Stub(says(answer())).start() for _ in range(3)]
@@ -326,7 +332,7 @@
     run(main())
 
 
-def test_a_list_of_the_discovery_before_is_not_heard_once_the_new_one_has_spoken() -> None:
+def test_lists_from_the_previous_address_are_ignored_once_the_new_one_has_answered() -> None:
     async def main() -> None:
         stubs = [await Stub(says(answer())).start() for _ in range(2)]
         other = await Registry().start()
@@ -345,8 +351,8 @@
 
 
 def test_a_wall_clock_that_is_behind_makes_no_server_start_in_the_future() -> None:
-    """It was behind as the reader was made; each start keeps its first reading, and a later one counts."""
-    clock = Behind()
+    """The wall clock is behind when the reader is created; a start time is converted at its first listing."""
+    clock = SlowWallClock()
     reader = Reader(clock, ("a",), ("m",))
     clock.now += 5_000_000_000
     row = instance("s0", ("127.0.0.1", 80), startedAtMs=100_000_000)
@@ -361,7 +367,9 @@
     assert not reader.starts
 
 
-class Behind:
+class SlowWallClock:
+    """A clock whose monotonic time a test advances; its wall clock is behind that of discovery."""
+
     now = 1_000_000_000
 
     def monotonic_ns(self) -> int:
@@ -380,8 +388,8 @@
         return 0
 
 
-class WallClock(Behind):
-    """A wall clock that is off by so many nanoseconds, and a monotonic one that a test moves on."""
+class WallClock(SlowWallClock):
+    """A clock whose wall clock is off by so many nanoseconds, and whose monotonic time a test advances."""
 
     def __init__(self, off: int) -> None:
         self.off = off
@@ -396,8 +404,8 @@
 
 
 @pytest.mark.parametrize("off", [-3600, -7, 0, 7, 3600])
-def test_a_server_that_starts_is_cold_however_far_off_the_wall_clock_was_at_the_start(off: int) -> None:
-    """An hour ahead, every later start seemed an hour old: no slow start at all."""
+def test_a_new_server_is_cold_however_wrong_the_wall_clock_was_at_start(off: int) -> None:
+    """With the wall clock an hour ahead, later starts seemed an hour old, and there was no slow start."""
     clock = WallClock(off * SECOND)
     reader = Reader(clock, ("a",), ("m",))
     reader.read(listing(1, True, instance("s0", ("127.0.0.1", 1))))
@@ -406,24 +414,24 @@
     began = clock.now
     row = instance("s1", ("127.0.0.1", 2), startedAtMs=(began + TRUE_OFFSET) // 1_000_000)
     clock.now += SECOND // 2
-    [told] = reader.read(listing(2, False, row))[2]
-    assert began - 8 * SECOND <= told.entry.started <= clock.now
+    [first] = reader.read(listing(2, False, row))[2]
+    assert began - 8 * SECOND <= first.entry.started <= clock.now
     if off <= 0:
-        assert told.entry.started >= began - 1_000_000
+        assert first.entry.started >= began - 1_000_000
     reader.note_answer()
     clock.now += 40 * SECOND
     [gone] = reader.read(listing(3, False, {**row, "lifecycle": "left"}))[2]
     clock.now += 10 * SECOND
     [back] = reader.read(listing(4, False, row))[2]
-    assert back.entry.started == told.entry.started  # it has come back, and not started anew
+    assert back.entry.started == first.entry.started  # listed again without a restart
 
 
 # ---- generations ----
 
 
 @pytest.mark.parametrize("rows", [[], ["s0"]])
-def test_changes_of_an_older_generation_are_heard_and_the_whole_list_is_asked_for(rows: list[str]) -> None:
-    """A discovery that began anew counts for itself: what had left before its changes was never heard of."""
+def test_changes_of_an_older_generation_are_applied_and_the_full_list_is_requested(rows: list[str]) -> None:
+    """A restarted discovery counts anew: its changes do not name the servers that left before them."""
 
     async def main() -> None:
         stubs = [await Stub(says(answer())).start() for _ in range(3)]
@@ -436,8 +444,8 @@
             registry.put(listing(5, False, *(instance(name, stubs[0].address, "leaving") for name in rows)))
             await until(lambda: len(registry.paths) == 2)
             assert registry.paths[1] == "/v1/endpoints"
-            assert len(driver.ready) == 3 - len(rows)  # told is told
-            if not rows:  # no word that the list from before the start still holds
+            assert len(driver.ready) == 3 - len(rows)  # the changes are applied
+            if not rows:  # no confirmation that the cached list is still valid
                 assert not any(server.sure for server in driver.balancer.servers.values())
             registry.put(listing(6, True, s0, s2))
             await until(lambda: len(registry.paths) == 3)
@@ -447,8 +455,8 @@
     run(main())
 
 
-def test_a_whole_list_of_an_older_generation_is_believed_at_once() -> None:
-    """Only a discovery that began anew answers with less than it was asked from: it has nothing better."""
+def test_a_full_list_of_an_older_generation_is_applied_at_once() -> None:
+    """Only a restarted discovery answers with an older generation than requested: it has no newer list."""
 
     async def main() -> None:
         old, new = await Stub(says(answer(b"old"))).start(), await Stub(says(answer(b"new"))).start()
@@ -465,7 +473,7 @@
     run(main())
 
 
-def test_a_known_list_that_is_not_whole_is_no_ground_for_changes() -> None:
+def test_changes_are_not_requested_on_top_of_an_incomplete_cached_list() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub, known=listing(41, False, instance("s0", stub.address))) as balancer:
@@ -476,8 +484,8 @@
     run(main())
 
 
-def test_the_answer_of_a_call_that_was_given_up_is_heard_by_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It comes late, after the news of the watch that followed: its connection is closed by then."""
+def test_the_answer_to_an_abandoned_call_is_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It arrives after the answer to the next call; its connection is closed by then."""
     monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.05)
     monkeypatch.setattr(discovery, "HOLD_MS", 50)
 
@@ -498,7 +506,7 @@
         async with node(*stubs, settings=given) as balancer:
             driver = balancer.front.driver
             balancer.reload.discovery.move(server.sockets[0].getsockname())
-            await until(lambda: len(calls) == 2)  # the first was given up
+            await until(lambda: len(calls) == 2)  # the first call has timed out
             calls[1].write(answer(json.dumps(listing(9, True, rows[0])).encode()))
             await until(lambda: len(driver.ready) == 1)
             calls[0].write(answer(json.dumps(listing(8, True, *rows)).encode()))
--- a/tests/node/test_upstream.py
+++ b/tests/node/test_upstream.py
@@ -1,4 +1,4 @@
-"""Each row of the protocol's table of outcomes, and when a connection may be used."""
+"""Each row of the protocol's table of outcomes, and when a connection may be reused."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 REQUEST = b"POST /api HTTP/1.1\r\nX-Request-Id: r1\r\nContent-Length: 5\r\n\r\nhello"
 
 
-class Shot:
-    """One attempt and its end."""
+class RecordedAttempt:
+    """Starts one attempt and records its end."""
 
     def __init__(self, pool: Pool, number: int = 1, left: int = 20 * SECOND) -> None:
         self.ends: list[End] = []
@@ -45,8 +45,8 @@
     return pool
 
 
-class Stopped(SystemClock):
-    """Time stands still but for the loop's timers: no machine is too slow for a window."""
+class FrozenClock(SystemClock):
+    """A clock that stands still, while timers of the loop run: no machine is too slow for a window."""
 
     now = 1_000 * SECOND
 
@@ -54,7 +54,7 @@
         return self.now
 
 
-HALF = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"
+TRUNCATED = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"
 
 
 @pytest.mark.parametrize(
@@ -71,15 +71,15 @@
         (says(answer(b"", "503 Service Unavailable", X_Not_Run="0")), Outcome.ERROR),
         (resets, Outcome.RESET),
         (says(b"", close=True), Outcome.RESET),
-        (says(HALF, close=True), Outcome.RESET),
-        (says(b"HTTP/1.1 200 OK\r\n\r\nbody", close=True), Outcome.OK),  # nothing but its end ends it
+        (says(TRUNCATED, close=True), Outcome.RESET),
+        (says(b"HTTP/1.1 200 OK\r\n\r\nbody", close=True), Outcome.OK),  # ended by the close
         (
             says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", close=True),
             Outcome.RESET,
         ),
         (says(b"NONSENSE\r\n\r\n"), Outcome.RESET),
         (says(answer(b"x" * 70_000, "500 Internal Server Error")), Outcome.ERROR),
-        # The connection stays open, and nothing on it would ever end this: not waited for.
+        # Delimited by the close of the connection, which stays open here: not waited for.
         (says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nbody"), Outcome.RESET),
         *(
             (says(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\nbody"), Outcome.RESET)
@@ -98,11 +98,11 @@
         (says(b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 200_000), Outcome.RESET),
     ],
 )
-def test_what_comes_back(handler: Handler, outcome: Outcome) -> None:
+def test_the_outcome_of_each_answer(handler: Handler, outcome: Outcome) -> None:
     async def main() -> None:
         stub = await Stub(handler).start()
-        shot = Shot(make_pool(stub.address))
-        end = await shot.end()
+        record = RecordedAttempt(make_pool(stub.address))
+        end = await record.end()
         assert end.outcome is outcome
         assert (end.answer is not None and end.answer.body == b"body") == (outcome is Outcome.OK)
         assert len(stub.seen) == 1
@@ -117,35 +117,37 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n",
     ],
 )
-def test_a_whole_answer_in_other_framing(data: bytes) -> None:
+def test_a_complete_answer_in_other_framing(data: bytes) -> None:
     async def main() -> None:
         stub = await Stub(says(data)).start()
-        end = await Shot(make_pool(stub.address)).end()
+        end = await RecordedAttempt(make_pool(stub.address)).end()
         assert end.outcome is Outcome.OK and end.answer is not None and end.answer.body == b"body"
 
     run(main())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_a_refused_connection_is_a_connect_failure() -> None:
     async def main() -> None:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
-            assert (await Shot(make_pool(free.getsockname())).end()).outcome is Outcome.CONNECT_FAILED
+            assert (
+                await RecordedAttempt(make_pool(free.getsockname())).end()
+            ).outcome is Outcome.CONNECT_FAILED
 
     run(main())
 
 
-def test_a_connection_that_never_comes_up_never_ran() -> None:
+def test_a_connect_time_out_is_a_connect_failure() -> None:
     async def main() -> None:
-        with socket.socket() as deaf:
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen(0)
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", 0))
+            listener.listen(0)
             fill = [socket.socket() for _ in range(4)]
-            for one in fill:  # its queue is full from the first of these on; later ones hear nothing
+            for one in fill:  # the first fills the queue of the listener; further connects get no answer
                 one.setblocking(False)
-                one.connect_ex(deaf.getsockname())
-            pool = make_pool(deaf.getsockname(), connect_timeout=0.1)
-            assert (await Shot(pool).end()).outcome is Outcome.CONNECT_FAILED
+                one.connect_ex(listener.getsockname())
+            pool = make_pool(listener.getsockname(), connect_timeout=0.1)
+            assert (await RecordedAttempt(pool).end()).outcome is Outcome.CONNECT_FAILED
             assert pool.open == 0
             for one in fill:
                 one.close()
@@ -153,18 +155,18 @@
     run(main())
 
 
-def test_broken_before_the_last_byte_is_written_never_ran() -> None:
-    """The peer reads nothing and resets while most of a long request waits to be written."""
+def test_a_reset_before_the_last_byte_is_written_is_a_connect_failure() -> None:
+    """The request cannot have run: the peer reads nothing and resets while most of it is still unwritten."""
 
     async def main() -> None:
         gate = asyncio.Event()
 
-        async def deaf(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def reset_unread(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             await gate.wait()
             writer.transport.abort()
 
-        server = await asyncio.start_server(deaf, "127.0.0.1", 0)
+        server = await asyncio.start_server(reset_unread, "127.0.0.1", 0)
         ends: list[End] = []
         pool = make_pool(server.sockets[0].getsockname())
         attempt = pool.start(1, lambda _: b"x" * 50_000_000, time.monotonic_ns() + 20 * SECOND, ends.append)
@@ -176,15 +178,15 @@
     run(main())
 
 
-def test_silence_times_out_when_the_balancer_stops_waiting() -> None:
+def test_an_unanswered_attempt_times_out_and_its_connection_is_closed() -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         pool = make_pool(stub.address)
-        shot = Shot(pool)
+        record = RecordedAttempt(pool)
         await until(lambda: len(stub.seen) == 1)
-        shot.attempt.give_up(Outcome.TIMEOUT)
-        assert (await shot.end()).outcome is Outcome.TIMEOUT
-        await until(lambda: stub.lost == 1 and pool.open == 0)  # given up by closing
+        record.attempt.give_up(Outcome.TIMEOUT)
+        assert (await record.end()).outcome is Outcome.TIMEOUT
+        await until(lambda: stub.lost == 1 and pool.open == 0)  # the attempt is abandoned by closing
 
     run(main())
 
@@ -203,7 +205,7 @@
 def test_load_reports(text: str, report: LoadReport | None) -> None:
     async def main() -> None:
         stub = await Stub(says(answer(b"", X_Load=text))).start()
-        end = await Shot(make_pool(stub.address)).end()
+        end = await RecordedAttempt(make_pool(stub.address)).end()
         assert (end.outcome, end.report) == (Outcome.OK, report)
 
     run(main())
@@ -212,12 +214,12 @@
 # ---- connections ----
 
 
-def test_a_warm_connection_is_used_again() -> None:
+def test_an_idle_connection_is_reused() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         pool = make_pool(stub.address)
         for _ in range(5):
-            await Shot(pool).end()
+            await RecordedAttempt(pool).end()
         assert len(stub.seen) == 5 and len(stub.writers) == 1 and pool.open == 1
 
     run(main())
@@ -227,56 +229,56 @@
     async def main() -> None:
         stub = await Stub(silent).start()
         pool = make_pool(stub.address)
-        first, second = Shot(pool), Shot(pool)
+        first, second = RecordedAttempt(pool), RecordedAttempt(pool)
         await until(lambda: len(stub.seen) == 2)
         assert len(stub.writers) == 2 and not first.ends and not second.ends
 
     run(main())
 
 
-def test_a_connection_that_says_close_is_not_used_again() -> None:
+def test_a_connection_is_not_reused_after_connection_close() -> None:
     async def main() -> None:
         stub = await Stub(says(answer(b"", Connection="close"))).start()
         pool = make_pool(stub.address)
-        await Shot(pool).end()
-        await Shot(pool).end()
+        await RecordedAttempt(pool).end()
+        await RecordedAttempt(pool).end()
         assert len(stub.writers) == 2
 
     run(main())
 
 
-def test_a_second_answer_to_one_request_is_not_taken_for_the_next() -> None:
+def test_a_duplicate_answer_is_not_taken_for_that_of_the_next_request() -> None:
     async def main() -> None:
         stub = await Stub(says(answer(b"one") + answer(b"two"))).start()
         pool = make_pool(stub.address)
         for _ in range(2):
-            end = await Shot(pool).end()
+            end = await RecordedAttempt(pool).end()
             assert end.answer is not None and end.answer.body == b"one"
         assert len(stub.writers) == 2
 
     run(main())
 
 
-def test_a_closed_connection_is_noticed_before_the_loop_hears_of_it() -> None:
-    """The close has arrived, yet no event of the loop has told: the request must not go there."""
+def test_a_close_is_noticed_before_the_event_loop_reports_it() -> None:
+    """The close has arrived but the loop has not processed it: no request may be written any more."""
 
     async def main() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
             pool = make_pool(server.getsockname())
             loop = asyncio.get_running_loop()
-            shot = Shot(pool)
+            record = RecordedAttempt(pool)
             peer, _ = await loop.sock_accept(server)
             await loop.sock_recv(peer, 4096)
             await loop.sock_sendall(peer, answer())
-            assert (await shot.end()).outcome is Outcome.OK
+            assert (await record.end()).outcome is Outcome.OK
             await until(lambda: len(pool.upstreams[1].idle) == 1)
             peer.close()
-            shot = Shot(pool)  # in the same turn of the loop
+            record = RecordedAttempt(pool)  # in the same iteration of the loop
             peer, _ = await loop.sock_accept(server)
             assert (await loop.sock_recv(peer, 4096)).startswith(b"POST")
             await loop.sock_sendall(peer, answer())
-            assert (await shot.end()).outcome is Outcome.OK
+            assert (await record.end()).outcome is Outcome.OK
             peer.close()
 
     run(main())
@@ -286,7 +288,7 @@
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         pool = make_pool(stub.address, keepalive=0.05)
-        await Shot(pool).end()
+        await RecordedAttempt(pool).end()
         await until(lambda: stub.lost == 1)
         assert pool.open == 0 and not pool.upstreams[1].idle
 
@@ -297,8 +299,8 @@
     async def main() -> None:
         stub = await Stub(silent).start()
         pool = make_pool(stub.address, limit=3)
-        shots = [Shot(pool) for _ in range(5)]
-        ends = [await shot.end() for shot in shots[3:]]
+        recorded = [RecordedAttempt(pool) for _ in range(5)]
+        ends = [await record.end() for record in recorded[3:]]
         assert [end.outcome for end in ends] == [Outcome.CONNECT_FAILED] * 2
         await until(lambda: len(stub.seen) == 3)
         assert pool.open == 3
@@ -306,13 +308,13 @@
     run(main())
 
 
-def test_at_the_limit_an_idle_connection_makes_room() -> None:
+def test_at_the_limit_an_idle_connection_is_closed_for_a_new_one() -> None:
     async def main() -> None:
         one, other = await Stub(says(answer())).start(), await Stub(says(answer())).start()
         pool = make_pool(one.address, limit=1)
         pool.put(2, other.address, 0, True)
         for number in (1, 2, 1, 2):
-            assert (await Shot(pool, number).end()).outcome is Outcome.OK
+            assert (await RecordedAttempt(pool, number).end()).outcome is Outcome.OK
             await until(lambda: pool.open == 1)
 
     run(main())
@@ -321,49 +323,51 @@
 @pytest.mark.parametrize(
     "handler", [resets, says(b"\0" * 64), says(answer(b"", "500 Internal Server Error", Connection="close"))]
 )
-def test_the_place_of_a_broken_connection_is_free_for_what_its_end_sends(handler: Handler) -> None:
-    """The end of an attempt was told a turn of the loop before its place was free: at the limit what was sent
-    again at once could not connect, though nothing else was open."""
+def test_the_slot_of_a_broken_connection_is_free_for_an_immediate_retry(handler: Handler) -> None:
+    """At the limit, a retry from the end of an attempt could not connect.
+
+    The end was reported one loop iteration before the slot of its connection was free.
+    """
 
     async def main() -> None:
         stub = await Stub(handler).start()
         pool = make_pool(stub.address, limit=1)
-        far, ends = time.monotonic_ns() + 20 * SECOND, list[End]()
+        deadline, ends = time.monotonic_ns() + 20 * SECOND, list[End]()
 
         def ended(end: End) -> None:
             ends.append(end)
             if len(ends) < 3:
-                pool.start(1, lambda _: REQUEST, far, ended)
+                pool.start(1, lambda _: REQUEST, deadline, ended)
 
-        pool.start(1, lambda _: REQUEST, far, ended)
+        pool.start(1, lambda _: REQUEST, deadline, ended)
         await until(lambda: len(ends) == 3)
         assert Outcome.CONNECT_FAILED not in {end.outcome for end in ends} and len(stub.seen) == 3
 
     run(main())
 
 
-def test_after_a_silence_connections_from_before_it_are_not_used() -> None:
+def test_after_a_time_out_connections_last_used_before_it_are_not_reused() -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         pool = make_pool(stub.address)
-        shots = [Shot(pool) for _ in range(3)]
+        recorded = [RecordedAttempt(pool) for _ in range(3)]
         await until(lambda: len(stub.seen) == 3)
-        stub.writers[0].write(answer())  # heard before the silence begins
-        await shots[0].end()
-        lost = Shot(pool)  # on the connection that was heard
+        stub.writers[0].write(answer())  # answered before the request that times out is written
+        await recorded[0].end()
+        lost = RecordedAttempt(pool)  # on the connection that was answered
         await until(lambda: len(stub.seen) == 4)
         stub.writers[1].write(answer())
-        await shots[1].end()
+        await recorded[1].end()
         before = pool.upstreams[1].idle[0]
-        hung = Shot(pool)
+        hung = RecordedAttempt(pool)
         await until(lambda: len(stub.seen) == 5)
         stub.writers[2].write(answer())
-        await shots[2].end()
+        await recorded[2].end()
         since = pool.upstreams[1].idle[0]
         hung.attempt.give_up(Outcome.TIMEOUT)
         await hung.end()
-        assert pool.upstreams[1].idle == [since] and before is not since  # it has answered meanwhile
-        late = Shot(pool)
+        assert pool.upstreams[1].idle == [since] and before is not since  # answered after that
+        late = RecordedAttempt(pool)
         await until(lambda: len(stub.seen) == 6)
         late.attempt.give_up(Outcome.CANCELLED)
         pool.close_idle_since(pool.upstreams[1], pool.loop.time())
@@ -374,7 +378,7 @@
 
 
 def test_a_connect_that_times_out_is_counted_out_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It came up and was given up in the same moment, so both its end and the time-out are told."""
+    """It completes and times out at the same moment, so both the loss and the time-out are reported."""
 
     async def main() -> None:
         stub = await Stub(silent).start()
@@ -388,21 +392,21 @@
             await asyncio.sleep(0.01)
             raise TimeoutError
 
-        class Late:
+        class LoopWithLateConnects:
             create_connection = staticmethod(too_late)
 
             def __getattr__(self, name: str) -> object:
                 return getattr(loop, name)
 
-        pool.loop = Late()  # type: ignore[assignment]
-        assert (await Shot(pool).end()).outcome is Outcome.CONNECT_FAILED
+        pool.loop = LoopWithLateConnects()  # type: ignore[assignment]
+        assert (await RecordedAttempt(pool).end()).outcome is Outcome.CONNECT_FAILED
         assert pool.open == 0
 
     run(main())
 
 
-def test_connections_that_turn_out_dead_after_some_idle_time_are_not_reused_so_late() -> None:
-    """Upstreams forgot connections after a fraction of the keepalive and reset the next request."""
+def test_connections_are_not_reused_after_idle_times_at_which_they_turn_out_dead() -> None:
+    """Upstreams dropped connections after a fraction of the keepalive and reset the next request."""
     staleness = Staleness()
     for _ in range(30):
         staleness.record_reuse(0.01, False)
@@ -411,77 +415,77 @@
     assert not staleness.may_reuse(0.2) and not staleness.may_reuse(5.0)
     for _ in range(60):
         staleness.decay()
-    assert staleness.may_reuse(0.2)  # it is tried again
+    assert staleness.may_reuse(0.2)  # the counts have decayed: tried again
 
 
-def test_an_old_connection_gives_way_to_a_new_one_where_such_have_broken() -> None:
+def test_a_new_connection_is_made_where_reused_ones_have_broken() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         pool = make_pool(stub.address)
-        await Shot(pool).end()
+        await RecordedAttempt(pool).end()
         stub.handler = resets
         for _ in range(3):
-            assert (await Shot(pool).end()).outcome is Outcome.RESET
+            assert (await RecordedAttempt(pool).end()).outcome is Outcome.RESET
             stub.handler = says(answer())
-            await Shot(pool).end()
+            await RecordedAttempt(pool).end()
             stub.handler = resets
-        assert max(pool.staleness.broken) > 0  # learned from real ends
+        assert max(pool.staleness.broken) > 0  # recorded by real attempts
         pool.staleness.broken[0] = 10.0
         stub.handler = says(answer())
         await until(lambda: len(pool.upstreams[1].idle) == 1)
         old = pool.upstreams[1].idle[0]
-        assert (await Shot(pool).end()).outcome is Outcome.OK
+        assert (await RecordedAttempt(pool).end()).outcome is Outcome.OK
         assert old.transport is None or old.transport.is_closing()
 
     run(main())
 
 
-# ---- a last look before the first byte ----
+# ---- the check before the first byte is written ----
 
 
-def drains(pool: Pool, address: tuple[str, int], _: Shot) -> None:
+def drains(pool: Pool, address: tuple[str, int], _: RecordedAttempt) -> None:
     pool.put(1, address, 0, False)
 
 
-def goes(pool: Pool, _: tuple[str, int], __: Shot) -> None:
+def goes(pool: Pool, _: tuple[str, int], __: RecordedAttempt) -> None:
     pool.drop(1)
 
 
-def restarts(pool: Pool, _: tuple[str, int], __: Shot) -> None:
+def restarts(pool: Pool, _: tuple[str, int], __: RecordedAttempt) -> None:
     pool.put(1, ("127.0.0.1", 9), 5, True)
 
 
-def cancels(_: Pool, __: tuple[str, int], shot: Shot) -> None:
-    shot.attempt.give_up(Outcome.CANCELLED)
+def cancels(_: Pool, __: tuple[str, int], record: RecordedAttempt) -> None:
+    record.attempt.give_up(Outcome.CANCELLED)
 
 
-def expires(_: Pool, __: tuple[str, int], shot: Shot) -> None:
-    shot.attempt.until = 0
+def expires(_: Pool, __: tuple[str, int], record: RecordedAttempt) -> None:
+    record.attempt.until = 0
 
 
 @pytest.mark.parametrize("change", [drains, goes, restarts, cancels, expires])
-def test_not_sent_when_things_changed_during_the_connect(
-    change: Callable[[Pool, tuple[str, int], Shot], None],
+def test_an_attempt_is_not_sent_after_a_change_during_its_connect(
+    change: Callable[[Pool, tuple[str, int], RecordedAttempt], None],
 ) -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         pool = make_pool(stub.address)
-        shot = Shot(pool)
-        change(pool, stub.address, shot)
-        assert (await shot.end()).outcome is Outcome.NOT_SENT
+        record = RecordedAttempt(pool)
+        change(pool, stub.address, record)
+        assert (await record.end()).outcome is Outcome.NOT_SENT
         await until(lambda: not pool.connecting)
         assert not stub.seen
 
     run(main())
 
 
-def test_a_drained_upstream_gets_nothing_and_loses_its_idle_connections() -> None:
+def test_a_draining_upstream_gets_no_requests_and_its_idle_connections_are_closed() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         pool = make_pool(stub.address)
-        await Shot(pool).end()
+        await RecordedAttempt(pool).end()
         pool.put(1, stub.address, 0, False)
-        assert (await Shot(pool).end()).outcome is Outcome.NOT_SENT
+        assert (await RecordedAttempt(pool).end()).outcome is Outcome.NOT_SENT
         await until(lambda: stub.lost == 1 and pool.open == 0)
         assert len(stub.seen) == 1
 
@@ -492,26 +496,26 @@
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         pool = make_pool(stub.address)
-        await Shot(pool).end()
-        late = Shot(pool, left=-1)  # on a warm connection, which is kept for the next
+        await RecordedAttempt(pool).end()
+        late = RecordedAttempt(pool, left=-1)  # on an idle connection, which stays available
         assert not late.ends
         assert (await late.end()).outcome is Outcome.NOT_SENT
-        assert (await Shot(pool).end()).outcome is Outcome.OK
+        assert (await RecordedAttempt(pool).end()).outcome is Outcome.OK
         assert len(stub.seen) == 2 and len(stub.writers) == 1
 
     run(main())
 
 
-def test_an_unknown_upstream_is_an_end_like_any_other() -> None:
+def test_an_attempt_at_an_unknown_upstream_ends_as_not_sent() -> None:
     async def main() -> None:
         pool = make_pool(("127.0.0.1", 9))
-        assert (await Shot(pool, number=77).end()).outcome is Outcome.NOT_SENT
+        assert (await RecordedAttempt(pool, number=77).end()).outcome is Outcome.NOT_SENT
 
     run(main())
 
 
-def test_a_repeat_that_waits_for_a_connect_is_not_written_after_its_window() -> None:
-    """A keyed request went again 0.6 s after its window: its connect came up as a standstill ended."""
+def test_a_retry_that_waits_for_a_connect_is_not_written_after_the_window_of_its_key() -> None:
+    """A keyed request was sent 0.6 s after its window: its connect completed as a process pause ended."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
@@ -526,23 +530,23 @@
     run(main())
 
 
-def test_what_is_half_written_when_its_time_is_over_is_recalled() -> None:
-    """An upstream that does not read: the kernel takes a part of what is written, the rest waits."""
+def test_a_partly_written_request_is_withdrawn_when_the_window_of_its_key_ends() -> None:
+    """The upstream does not read: the kernel takes a part of the request, the rest stays unwritten."""
 
     async def main() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         pool = make_pool(listener.getsockname())
-        clock = pool.clock = Stopped()
-        large, far = b"x" * (64 << 20), clock.now + 20 * SECOND
+        clock = pool.clock = FrozenClock()
+        large, deadline = b"x" * (64 << 20), clock.now + 20 * SECOND
         ends: list[End] = []
-        attempt = pool.start(1, lambda _: large, far, ends.append, clock.now + 1)
+        attempt = pool.start(1, lambda _: large, deadline, ends.append, clock.now + 1)
         await until(lambda: attempt.connection is not None)
         assert not attempt.fully_written()
         await until(lambda: bool(ends))
         assert ends[0].outcome is Outcome.NOT_SENT and pool.open == 0
-        whole = pool.start(1, lambda _: REQUEST, far, ends.append)
-        await until(whole.fully_written)
-        whole.give_up(Outcome.CANCELLED)
+        small = pool.start(1, lambda _: REQUEST, deadline, ends.append)
+        await until(small.fully_written)
+        small.give_up(Outcome.CANCELLED)
         await until(lambda: len(ends) == 2)
         assert ends[1].outcome is Outcome.CANCELLED
         listener.close()
@@ -553,10 +557,10 @@
 @pytest.mark.parametrize(
     ("ages", "taken"), [((0.5, 0.2, 0.001), 0.2), ((0.003, 0.001), 0.001), ((0.2,), 0.2)]
 )
-def test_a_connection_that_has_rested_goes_before_one_that_was_just_used(
+def test_a_connection_idle_for_some_time_is_preferred_to_one_just_used(
     ages: tuple[float, ...], taken: float
 ) -> None:
-    """On the latter a second answer to its last request may still be under way."""
+    """On the latter a duplicate answer to its last request may still arrive."""
 
     async def main() -> None:
         pool = make_pool(("127.0.0.1", 1))
