--- a/tests/node/test_growth.py
+++ b/tests/node/test_growth.py
@@ -1,4 +1,4 @@
-"""What comes and goes by the thousand leaves nothing behind: ids, connections, upstreams, timers."""
+"""Memory stays bounded over thousands of request ids, connections, upstreams and timers."""
 
 from __future__ import annotations
 
@@ -11,25 +11,26 @@
 from tests.node.messages import answer, instance, listing, request
 from tests.node.stubs import Node, Registry, Stub, node, run, says, settings, until
 
-ROUND = 1000
+REQUESTS_PER_ROUND = 1000
 
 
-async def play(balancer: Node, registry: Registry, stub: Stub, first: int) -> None:
-    """New ids on new connections, bad ones among them, while the upstream is replaced at its address."""
-    for n in range(first, first + ROUND):
+async def send_requests(balancer: Node, registry: Registry, stub: Stub, first: int) -> None:
+    """Send new ids on new connections, some with errors, while the upstream is replaced at its address."""
+    for n in range(first, first + REQUESTS_PER_ROUND):
         if n % 25 == 0:
             names = [instance(f"s{n // 25 - 1}", stub.address, "left"), instance(f"s{n // 25}", stub.address)]
             registry.put(listing(n + 2, False, *names))
-        caller = await balancer.open()
+        client = await balancer.open()
         bad = n % 10 == 0
-        got = await caller.ask(
+        got = await client.ask(
             request(("check", "set", "send")[n % 3], rid=f"r{n}", deadline="soon" if bad else 4000)
         )
         assert ("400" if bad else "200") in got.start
-        caller.writer.close()
+        client.writer.close()
 
 
-async def settled(balancer: Node) -> int:
+async def live_objects(balancer: Node) -> int:
+    """Wait until nothing is open, and count the objects that the garbage collector tracks."""
     front = balancer.front
     module = front.driver.balancer
     await until(
@@ -44,26 +45,26 @@
     return len(gc.get_objects())
 
 
-def test_thousands_of_ids_leave_nothing_behind() -> None:
+def test_thousands_of_requests_leak_no_objects() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         changed = settings()
-        changed["obligations"]["fallNs"] = 200_000_000  # the module forgets servers with each sweep
+        changed["obligations"]["fallNs"] = 200_000_000  # the module drops old servers at each sweep
         async with node(stub, settings=changed) as balancer:
             counts = []
             for n in range(4):
-                await play(balancer, balancer.registry, stub, n * ROUND)
+                await send_requests(balancer, balancer.registry, stub, n * REQUESTS_PER_ROUND)
                 stub.seen.clear()
                 stub.writers.clear()
-                counts.append(await settled(balancer))
-            # A leak of one object a request would show as ROUND more each time; some hundreds come and go.
-            assert counts[3] - counts[1] < ROUND, counts
+                counts.append(await live_objects(balancer))
+            # One leaked object per request would add REQUESTS_PER_ROUND each round; some hundreds are noise.
+            assert counts[3] - counts[1] < REQUESTS_PER_ROUND, counts
 
     run(main())
 
 
-def test_ids_that_left_are_remembered_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Operators are owed a yes for an id that was listed; those listed or banned now are never forgotten."""
+def test_a_bounded_number_of_delisted_ids_is_remembered(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A ban is accepted for an id that was listed; ids that are listed or banned now are always known."""
     monkeypatch.setattr(engine, "EVER", 20)
 
     async def main() -> None:
--- a/tests/node/test_late_connections.py
+++ b/tests/node/test_late_connections.py
@@ -1,4 +1,4 @@
-"""Connections that come as the listener closes: accepted, and what was asked on them answered."""
+"""Connections that arrive as the listener closes are accepted, and their requests answered."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 
 def test_a_request_in_the_listeners_queue_as_it_closes_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The process had stood still: the connection came in time and was reset by the close of the listener."""
+    """After a process pause, a connection made in time was reset because the listener closed."""
     monkeypatch.setattr(drain, "LINGER", 0.0)
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
-            made = balancer.front.drain
-            look, clients = made.look, list[socket.socket]()
+            drain_state = balancer.front.drain
+            original, clients = drain_state.look, list[socket.socket]()
 
-            def looked(now: float, found: Open, hurry: Hurry = Hurry.NONE) -> Orders:
-                orders = look(now, found, hurry)
+            def look(now: float, found: Open, hurry: Hurry = Hurry.NONE) -> Orders:
+                orders = original(now, found, hurry)
                 if orders.stop_accepting and not clients:
                     clients.append(socket.create_connection(balancer.address))
                     clients[0].sendall(request(rid="queued"))
                 return orders
 
-            made.look = looked  # type: ignore[method-assign]
+            drain_state.look = look  # type: ignore[method-assign]
             signal.raise_signal(signal.SIGTERM)
             await until(lambda: bool(clients))
             assert b"done" in await received(clients[0])
-            await until(lambda: made.state is State.OVER)
+            await until(lambda: drain_state.state is State.OVER)
 
     run(main())
--- a/tests/node/test_places.py
+++ b/tests/node/test_places.py
@@ -1,4 +1,7 @@
-"""Settings that change again and again in service: places, counts and terms of requests stay true."""
+"""Repeated changes of the settings: class positions, counters and terms of requests stay correct.
+
+A class is referred to by its position in the list of classes; a position is reused once its class is unused.
+"""
 
 from __future__ import annotations
 
@@ -20,28 +23,28 @@
 from tests.seeded import Defect, defect_tests, patched
 
 CHANGES = 150
-SPAN = 20  # changes that a long request goes through
+LONG_REQUEST_CHANGES = 20  # changes during which a long request stays open
 SECOND_NS = 1_000_000_000
 
 
 async def serve(_: Stub, got: Message, writer: asyncio.StreamWriter) -> None:
-    """Answers what does not begin with `long`."""
+    """Answer all requests but those whose id begins with `long`."""
     if not got.headers["x-request-id"].startswith("long"):
         writer.write(answer())
 
 
-def file_of(serial: int) -> dict[str, Any]:
-    """The settings of a change: `check` and `send` always with new terms, and a class of its own."""
-    patience = 5 * SECOND_NS + serial
+def settings_of_change(serial: int) -> dict[str, Any]:
+    """The settings of a change: `check` and `send` with new terms each time, and a further class."""
+    deadline = 5 * SECOND_NS + serial
     return named(
-        service("check", "pure", deadlineNs=patience),
-        service("send", "side_effect", deadlineNs=patience),
-        service(f"only{serial % 7}", "pure", deadlineNs=patience),
+        service("check", "pure", deadlineNs=deadline),
+        service("send", "side_effect", deadlineNs=deadline),
+        service(f"only{serial % 7}", "pure", deadlineNs=deadline),
     )
 
 
 async def change(balancer: Node, given: dict[str, Any]) -> None:
-    """Through the signal, as an operator does it."""
+    """Reload through SIGHUP, as an operator does."""
     ledger = balancer.front.driver.ledger
     raw = {**configuration(balancer.registry.address), "settings": given}
     balancer.given, before = config.parse(raw), ledger.reloads
@@ -50,7 +53,7 @@
 
 
 def served_over_many_changes() -> None:
-    """Counts go by class, requests under way keep theirs, and places stay few."""
+    """Counters belong to classes, open requests keep their class, and there are few positions."""
 
     async def main() -> None:
         stub = await Stub(serve).start()
@@ -60,24 +63,24 @@
             asked: Counter[str] = Counter()
             long: list[tuple[Any, str, Any]] = []
             for serial in range(CHANGES):
-                await change(balancer, file_of(serial))
-                own = f"only{serial % 7}"
-                for name in ("check", "send", own, own):
+                await change(balancer, settings_of_change(serial))
+                further = f"only{serial % 7}"
+                for name in ("check", "send", further, further):
                     rid, method = f"r{serial}-{asked.total()}", "POST" if name == "send" else "GET"
                     asked[name] += 1
                     assert (await balancer.ask(request(name, rid, method=method))).body == b"done"
                 if serial % 10 == 0:
-                    caller, rid = await balancer.open(), f"long{serial}"
-                    caller.writer.write(request("send", rid))
+                    client, rid = await balancer.open(), f"long{serial}"
+                    client.writer.write(request("send", rid))
                     await until(lambda rid=rid: rid in module.open)  # type: ignore[misc]
-                    long.append((caller, rid, module.open[rid].klass))
+                    long.append((client, rid, module.open[rid].klass))
                 for _, rid, klass in long:
                     item = module.open[rid]
                     assert module.settings.classes[item.request.klass] == item.klass == klass
-                if len(long) > SPAN // 10:
-                    caller, rid, klass = long.pop(0)
+                if len(long) > LONG_REQUEST_CHANGES // 10:
+                    client, rid, klass = long.pop(0)
                     asked["send left"] += 1
-                    caller.writer.close()
+                    client.writer.close()
                     await until(lambda rid=rid: rid not in driver.jobs)  # type: ignore[misc]
                 assert len(module.records) == len(driver.tiers) <= 2 * 3 + len(long) + 1
             tiers = driver.ledger.tiers
@@ -90,57 +93,57 @@
     run(main())
 
 
-class TurningGate:
-    """A gate whose next look finds other settings in force."""
+class ChangingGate:
+    """A gate that applies other settings when it is next checked."""
 
     def __init__(self, balancer: Node, settings: Settings) -> None:
-        self.balancer, self.settings, self.turned = balancer, settings, False
+        self.balancer, self.settings, self.changed = balancer, settings, False
 
     def look(self) -> int:
-        if not self.turned:
-            self.turned = True
+        if not self.changed:
+            self.changed = True
             self.balancer.reload.take(self.settings, narrow=True)
         return 1
 
 
 def settings_change_between_reading_and_deciding() -> None:
-    """A request was read under the old settings, and the module hears of new ones just before of it."""
+    """A request is read under the old settings; the module gets new ones just before the request."""
 
     async def main() -> None:
         stub = await Stub(serve).start()
         async with node(stub) as balancer:
             module = balancer.front.driver.balancer
             old = module.settings.classes
-            # `other` takes the first place that is free: that of `send`, if nothing held it.
+            # `other` takes the first free position: that of `send`, unless it is in use.
             given = named(service("check", "pure"), service("other", "pure"))
             given["services"].insert(1, service("set", "token"))
             new = parse_settings(given)
             assert set(old) - set(new.classes) == {old[2]} and old[2].name == "send"
-            balancer.front.driver.pool.gate = TurningGate(balancer, new)
-            caller = await balancer.open()
-            caller.writer.write(request("send", "long"))
+            balancer.front.driver.pool.gate = ChangingGate(balancer, new)
+            client = await balancer.open()
+            client.writer.write(request("send", "long"))
             await until(lambda: "long" in module.open)
             item = module.open["long"]
             assert module.settings.classes[item.request.klass] == old[2]
             assert item.klass.idempotency is Idempotency.UNSAFE and item.klass.name == "send"
             assert balancer.front.driver.ledger.tiers["send"].inflight == 1
-            caller.writer.close()
+            client.writer.close()
 
     run(main())
 
 
 def messages_keep_their_class() -> None:
-    """The map of `[mllp]` names places for as long as the process runs."""
+    """The routes of `[mllp]` refer to class positions for as long as the process runs."""
 
     async def main() -> None:
-        async with place(serve) as here:
-            driver = here.node.front.driver
+        async with place(serve) as deployment:
+            driver = deployment.node.front.driver
             module = driver.balancer
             old = {n: module.settings.classes[n] for n in (1, 2)}
             assert [klass.name for klass in old.values()] == ["set", "send"]
-            clinic = await here.clinic()
+            clinic = await deployment.clinic()
             for serial in range(5):
-                await change(here.node, file_of(serial))
+                await change(deployment.node, settings_of_change(serial))
                 assert {n: module.settings.classes[n] for n in (1, 2)} == old
                 assert await clinic.say(message(f"m{serial}")) == "AA"
             assert driver.ledger.tiers["send"].success == 5
@@ -149,11 +152,11 @@
     run(main())
 
 
-def test_counts_terms_and_places_stay_true_over_many_signals() -> None:
+def test_counters_terms_and_positions_stay_correct_over_many_reloads() -> None:
     served_over_many_changes()
 
 
-def test_a_change_between_reading_a_request_and_deciding_about_it() -> None:
+def test_a_change_between_reading_a_request_and_deciding_on_it() -> None:
     settings_change_between_reading_and_deciding()
 
 
@@ -164,8 +167,8 @@
 # ---- seeded defects ----
 
 
-def _counted_by_place(self: Driver, new: Settings, narrow: bool = False) -> Settings:
-    """The counts of a place stay with it, whichever class takes it."""
+def _counters_by_position(self: Driver, new: Settings, narrow: bool = False) -> Settings:
+    """Counters belong to a position, whichever class takes it."""
     held = self.kept_places.union(job.incoming.klass for job in self.jobs.values())
     self._deliver_event(self.balancer.on_settings, new, narrower if narrow else None, held)
     placed = self.balancer.settings
@@ -173,10 +176,10 @@
     return placed
 
 
-def _only_what_the_module_has(
+def _reserve_only_in_module(
     self: Driver, new: Settings, narrow: bool = False, original: Any = Driver.take_settings
 ) -> Settings:
-    """Nothing outside the module holds a place."""
+    """Positions used outside the module may be reused."""
     jobs, self.jobs = self.jobs, {}
     kept, self.kept_places = self.kept_places, set()
     try:
@@ -186,17 +189,19 @@
 
 
 DEFECTS: dict[str, Defect] = {
-    "counts stay with the place": patched(Driver, "take_settings", _counted_by_place),
-    "a request that is not decided yet holds no place": patched(
-        Driver, "take_settings", _only_what_the_module_has
+    "counters stay with the position": patched(Driver, "take_settings", _counters_by_position),
+    "a request that is not decided on yet reserves no position": patched(
+        Driver, "take_settings", _reserve_only_in_module
+    ),
+    "the routes of a front end reserve no position": patched(
+        Driver, "take_settings", _reserve_only_in_module
     ),
-    "a front's map holds no place": patched(Driver, "take_settings", _only_what_the_module_has),
 }
 
 FINDERS: dict[str, Callable[[], None]] = {
-    "counts stay with the place": served_over_many_changes,
-    "a request that is not decided yet holds no place": settings_change_between_reading_and_deciding,
-    "a front's map holds no place": messages_keep_their_class,
+    "counters stay with the position": served_over_many_changes,
+    "a request that is not decided on yet reserves no position": settings_change_between_reading_and_deciding,
+    "the routes of a front end reserve no position": messages_keep_their_class,
 }
 
 test_every_defect_has_its_finder, test_the_defect_is_found = defect_tests(
--- a/tests/node/test_settings.py
+++ b/tests/node/test_settings.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: taken whole or not at all, and whoever is under way keeps what it came with."""
+"""New settings at SIGHUP: applied completely or not at all; open requests keep the terms they came with."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
 
 def named(*services: dict[str, Any], **bounds: Any) -> dict[str, Any]:
+    """Settings with these services and changed bounds."""
     given = settings(services=list(services))
     given["bounds"] = {**given["bounds"], **bounds}
     return given
@@ -29,7 +30,7 @@
 
 @pytest.mark.parametrize("value", [0, -1, True, False, "5", None, [], {}, float("nan"), float("inf"), 0.4])
 @pytest.mark.parametrize("key", ["deadlineNs", "maxAttempts", "goalTimeNs"])
-def test_what_is_no_positive_number_is_named_in_one_line(key: str, value: Any) -> None:
+def test_the_error_names_a_setting_that_is_not_a_positive_number(key: str, value: Any) -> None:
     raw = named(CHECK, maxAttempts=value) if key == "maxAttempts" else named({**CHECK, key: value})
     with pytest.raises(SettingsError) as caught:
         parse_settings(raw)
@@ -54,7 +55,7 @@
         json.dumps({**configuration(("127.0.0.1", 9)), "settings": named({**CHECK, "worth": 1e400})}),
     ],
 )
-def test_a_file_that_cannot_be_used_is_one_error(text: str, tmp_path: Any) -> None:
+def test_an_unusable_file_gives_one_error_of_one_line(text: str, tmp_path: Any) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
     with pytest.raises(config.ConfigError) as caught:
@@ -71,7 +72,7 @@
 
 
 @given(st.lists(st.tuples(NAMES, st.sets(st.integers(0, 5))), min_size=1, max_size=6))
-def test_a_place_means_one_class_as_long_as_it_is_in_force_or_held(
+def test_a_position_means_one_class_while_it_is_in_force_or_in_use(
     files: list[tuple[list[tuple[str, str, int]], set[int]]],
 ) -> None:
     def read(file: list[tuple[str, str, int]]) -> Any:
@@ -82,9 +83,9 @@
         old, new = balancer.settings, read(file)
         balancer.on_settings(0, new, held=held)
         placed = balancer.settings
-        for place, klass in enumerate(old.classes):
-            if place in held or (place not in old.retired and klass in new.classes):
-                assert placed.classes[place] == klass
+        for position, klass in enumerate(old.classes):
+            if position in held or (position not in old.retired and klass in new.classes):
+                assert placed.classes[position] == klass
         current = [c for n, c in enumerate(placed.classes) if n not in placed.retired]
         assert sorted(c.name for c in current) == sorted(c.name for c in new.classes)
         assert set(current) == set(new.classes)
@@ -92,7 +93,7 @@
         assert len(placed.classes) <= 2 * len(new.classes) + len(old.classes) + len(held)
 
 
-def test_the_module_learns_on_and_requests_under_way_keep_class_and_attempts() -> None:
+def test_the_module_keeps_its_estimates_and_open_requests_their_class_and_attempts() -> None:
     world = World()
     world.announce(ListKind.FULL, *(entry(n) for n in range(6)))
     old = world.settings
@@ -101,22 +102,22 @@
     balancer.records[0].usual = 77 * MS
     stricter = parse_settings(named(service("read", "side_effect", goalTimeNs=200 * MS), maxAttempts=1))
     world.play(balancer.on_settings(world.now, stricter, held=range(len(old.classes))))
-    merged, place = balancer.settings, len(old.classes)
+    merged, position = balancer.settings, len(old.classes)
     assert merged.classes == (*old.classes, *stricter.classes)
-    assert balancer.records[place].usual == 77 * MS
+    assert balancer.records[position].usual == 77 * MS
     assert all(len(record.states) == 0 for record in balancer.records[1:]) and balancer.records[0].states
-    world.end(rid, 0, Outcome.ERROR)  # it goes on as a safe one that may be tried thrice
+    world.end(rid, 0, Outcome.ERROR)  # still treated as safe, with three attempts
     while None in world.requests[rid].ends:
         world.end(rid, world.requests[rid].ends.index(None), Outcome.ERROR)
     assert len(world.requests[rid].servers) == 3 and world.requests[rid].final == "Refuse"
     world.settings = merged
-    new = world.submit(place)
-    world.end(new, 0, Outcome.ERROR)  # of the new kind: once, and it may have run
+    new = world.submit(position)
+    world.end(new, 0, Outcome.ERROR)  # the new class: one attempt, which may have run
     assert world.requests[new].final == "Fail" and len(world.requests[new].servers) == 1
 
 
-def put(balancer: Node, given: dict[str, Any]) -> None:
-    """What SIGHUP does with such a file."""
+def reload_with(balancer: Node, given: dict[str, Any]) -> None:
+    """Reload with these settings, as SIGHUP does."""
     raw = {**configuration(balancer.registry.address), "settings": given}
     try:
         balancer.given = config.parse(raw)
@@ -133,29 +134,29 @@
     balancer.reload()
 
 
-def test_classes_appear_vanish_and_change_their_effect_in_service() -> None:
+def test_classes_are_added_removed_and_changed_while_requests_are_served() -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with node(stub) as balancer:
             ledger = balancer.front.driver.ledger
-            under_way = await balancer.open()
-            under_way.writer.write(request("check", rid="old"))
+            open_client = await balancer.open()
+            open_client.writer.write(request("check", rid="old"))
             await until(lambda: len(stub.seen) == 1)
-            put(balancer, named({**CHECK, "idempotency": "side_effect"}, service("fresh", "pure")))
+            reload_with(balancer, named({**CHECK, "idempotency": "side_effect"}, service("fresh", "pure")))
             assert (ledger.reloads, ledger.reloads_failed) == (1, 0)
             [job] = balancer.front.driver.jobs.values()
             assert balancer.front.driver.balancer.open["old"].klass.idempotency is Idempotency.SAFE
             stub.handler = says(answer(b"done"))
-            assert "400" in (await balancer.ask(request("send", rid="gone"))).start  # vanished
-            assert "400" in (await balancer.ask(request("check", rid="get"))).start  # no GET any more
+            assert "400" in (await balancer.ask(request("send", rid="gone"))).start  # class removed
+            assert "400" in (await balancer.ask(request("check", rid="get"))).start  # GET no longer allowed
             got = await balancer.ask(request("check", rid="post", method="POST"))
             assert got.body == b"done"
             assert (await balancer.ask(request("fresh", rid="f", method="GET"))).body == b"done"
-            put(balancer, named({**CHECK, "deadlineNs": True}))
+            reload_with(balancer, named({**CHECK, "deadlineNs": True}))
             assert (ledger.reloads, ledger.reloads_failed) == (1, 1)
             assert (await balancer.ask(request("fresh", rid="f2", method="GET"))).body == b"done"
             stub.writers[0].write(answer(b"late"))
-            assert (await read_message(under_way.reader)).body == b"late" and job.closed
+            assert (await read_message(open_client.reader)).body == b"late" and job.closed
             assert {name: tier.success for name, tier in ledger.tiers.items()} == {
                 "check": 2,
                 "set": 0,
--- a/tests/node/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -1,4 +1,4 @@
-"""At most one server lives at an address, whatever the list still shows."""
+"""At most one server holds an address, whatever the list still shows."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     return {one.entry.id: one.entry.state for one in settled}
 
 
-def test_who_comes_later_to_an_address_ends_who_was_there() -> None:
-    """A keyed request sent to the old one met the new one, and went again to the old one's rack."""
+def test_a_later_server_at_an_address_marks_the_earlier_one_gone() -> None:
+    """A keyed request to the old server reached the new one; its retry went to the cell of the old one."""
     tenants = Tenants()
     assert states(tenants.settle(True, [listed(1, 80), listed(2, 81)])) == {1: READY, 2: READY}
     assert states(tenants.settle(False, [listed(3, 80, started=5)])) == {1: GONE, 3: READY}
 
 
-def test_who_is_listed_once_more_after_that_stays_gone() -> None:
+def test_a_replaced_server_stays_gone_if_it_is_listed_again() -> None:
     tenants = Tenants()
     tenants.settle(True, [listed(1, 80, started=3)])
     tenants.settle(False, [listed(3, 80, started=5)])
@@ -37,13 +37,13 @@
     assert tenants.at[("10.0.0.1", 80)].id == 3
 
 
-def test_a_whole_list_with_both_keeps_the_later_in_either_order() -> None:
+def test_a_full_list_with_both_keeps_the_later_one_in_either_order() -> None:
     both = [listed(1, 80, started=3), listed(3, 80, started=5)]
     for rows in (both, both[::-1]):
         assert states(Tenants().settle(True, rows)) == {1: GONE, 3: READY}
 
 
-def test_who_moves_to_another_address_leaves_the_first_free() -> None:
+def test_a_server_that_changes_its_address_frees_the_previous_one() -> None:
     tenants = Tenants()
     tenants.settle(True, [listed(1, 80)])
     tenants.settle(False, [listed(1, 81, started=2)])
@@ -58,15 +58,17 @@
 
 @given(UPDATES)
 def test_no_two_that_are_not_gone_share_an_address(updates: list[tuple[bool, list[Listed]]]) -> None:
-    tenants, here = Tenants(), dict[int, Address]()
+    tenants, addresses = Tenants(), dict[int, Address]()
     for whole, rows in updates:
         if whole:
-            here.clear()
+            addresses.clear()
         for one in tenants.settle(whole, rows):
             if one.entry.state is GONE:
-                here.pop(one.entry.id, None)
+                addresses.pop(one.entry.id, None)
             else:
-                here[one.entry.id] = one.address
-        assert len(set(here.values())) == len(here)
-        assert {address: entry.id for address, entry in tenants.at.items()} == {a: n for n, a in here.items()}
-        assert tenants.home == here
+                addresses[one.entry.id] = one.address
+        assert len(set(addresses.values())) == len(addresses)
+        assert {address: entry.id for address, entry in tenants.at.items()} == {
+            a: n for n, a in addresses.items()
+        }
+        assert tenants.home == addresses
