--- a/dykeshift/engine/config.py
+++ b/dykeshift/engine/config.py
@@ -59,6 +59,7 @@
 
 
 def read_address(text: Any) -> Address:
+    """Parse host:port; ValueError if it is malformed."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
         raise ValueError(f"{text!r} is not an address of the form host:port")
@@ -83,6 +84,7 @@
 
 
 def max_operator_connections(limits: dict[str, Any]) -> int:
+    """The limit of operator connections under these resource limits."""
     return max(2, min(MAX_OPERATOR_CONNECTIONS, int(limits.get("sockets", 1024)) // OPERATOR_SHARE))
 
 
@@ -100,6 +102,7 @@
 
 
 def long_request_budget(limits: dict[str, Any]) -> int:
+    """Bytes of long requests that may be buffered under these resource limits; 1 MiB at least."""
     return max(
         1 << 20, int((float(limits.get("memory_mb", 192)) - BASE_MEMORY_MB) * LONG_REQUESTS_SHARE * 1e6)
     )
@@ -121,6 +124,7 @@
 
 
 def parse(raw: Any, peering: bool = False) -> Config:
+    """Validate a decoded file; `peering`: whether to parse that part, too."""
     given = need(raw, "settings", "")
     limits = need(given, "bounds", "settings.")
     seed = str(need(raw, "seed", ""))
--- a/dykeshift/engine/discovery.py
+++ b/dykeshift/engine/discovery.py
@@ -152,14 +152,18 @@
     def __init__(self, done: Callable[[Answer | None], None]) -> None:
         self.done = done
 
-    def whole(self) -> None: ...
+    def whole(self) -> None:
+        """Nothing to do: only the answer matters."""
 
-    def began(self, answer: Answer) -> None: ...
+    def began(self, answer: Answer) -> None:
+        """Nothing to do: these connections deliver answers only when they are complete."""
 
     def answered(self, answer: Answer) -> None:
+        """Pass on the answer."""
         self.done(answer)
 
     def broken(self, written: bool) -> None:
+        """Report that there is no answer."""
         self.done(None)
 
 
--- a/dykeshift/engine/http_carrier.py
+++ b/dykeshift/engine/http_carrier.py
@@ -46,10 +46,13 @@
         self.loop, self.clock = loop, clock
 
     def connection(self, on_idle: Callable[[Any], None], on_lost: Callable[[Any], None]) -> Connection:
+        """A new connection, which delivers long answers as they arrive."""
         return Connection(self.loop, self.clock, on_idle, on_lost, streams=True)
 
     def words(self, asked: Asked) -> Callable[[int], Message]:
+        """The encoder of a request, given the nanoseconds left to the upstream."""
         return asked.message
 
     def end(self, answer: Answer) -> End:
+        """The outcome of a complete answer and its load report."""
         return End(judge(answer), read_report(answer), answer)
--- a/dykeshift/engine/link.py
+++ b/dykeshift/engine/link.py
@@ -27,7 +27,8 @@
     def began(self, answer: Any) -> None:
         """The first part of a streamed answer has arrived; one of the two ends below follows."""
 
-    def answered(self, answer: Any) -> None: ...
+    def answered(self, answer: Any) -> None:
+        """The answer is complete."""
 
     def broken(self, written: bool) -> None:
         """The answer will not be completed; `written`: the whole message had been passed to the kernel."""
@@ -170,16 +171,19 @@
     # ---- callbacks of the transport ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop: the connection is open."""
         self.transport = cast(asyncio.Transport, transport)
         # With high=0, pause_writing is called as soon as the transport has to buffer a byte.
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
+        """Called by the transport: it buffers data, so reading from the client of an upload is paused."""
         self.write_paused = True
         if self.upload is not None:
             self.upload.source.hold(True)
 
     def resume_writing(self) -> None:
+        """Called by the transport: its buffer is empty, so writing continues."""
         self.write_paused = False
         self._write_body()
         if self.upload is not None and not self.write_paused:
@@ -193,6 +197,7 @@
         self.unwritten_body.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Called by the event loop: the connection is closed."""
         self._break()
 
     # ---- the end of an exchange ----
--- a/dykeshift/engine/upstream.py
+++ b/dykeshift/engine/upstream.py
@@ -59,7 +59,8 @@
 class Carrier(Protocol):
     """A protocol spoken to upstreams: makes its connections and maps answers to outcomes."""
 
-    def connection(self, on_idle: Callable[[Any], None], on_lost: Callable[[Any], None]) -> Link: ...
+    def connection(self, on_idle: Callable[[Any], None], on_lost: Callable[[Any], None]) -> Link:
+        """A new connection; it calls `on_idle` when it can be reused and `on_lost` once when it is gone."""
 
     def words(self, asked: Asked) -> Callable[[int], Message]:
         """Returns the encoder of a request: called with the nanoseconds left to the upstream."""
@@ -183,14 +184,17 @@
         self.pool.loop.call_soon(self.ended, End(outcome))
 
     def finish(self, end: End) -> None:
+        """Report how it ended, unless it has ended before."""
         if not self.over:
             self.over = True
             self.ended(end)
 
     def whole(self) -> None:
+        """Count a request that is fully written."""
         self.pool.ledger.attempts += 1
 
     def began(self, answer: Any) -> None:
+        """Report the start of a streamed answer, or the end if the answer is an error."""
         end = self.pool.carrier.end(answer)
         if end.outcome is not Outcome.OK:  # an error: the rest of its answer is not needed
             if self.connection is not None:
@@ -201,11 +205,13 @@
             self.ended(End(end.outcome, end.report, answer, more=True))
 
     def answered(self, answer: Any) -> None:
+        """Report the end of an attempt whose answer is complete."""
         if self.idle_before is not None:
             self.pool.staleness.record_reuse(self.idle_before, False)
         self.finish(self.stream_end or self.pool.carrier.end(answer))
 
     def broken(self, written: bool) -> None:
+        """Report the end of an attempt whose connection broke; if not fully written, it cannot have run."""
         if self.idle_before is not None and self.connection is not None:
             self.pool.staleness.record_reuse(self.idle_before, not self.connection.fed)
         self.finish(End(Outcome.RESET if written else Outcome.CONNECT_FAILED))
@@ -227,11 +233,13 @@
         return min(int(idle * 1000).bit_length(), 19)
 
     def record_reuse(self, idle: float, broke: bool) -> None:
+        """Count a reuse after so many idle seconds, and whether the connection broke without an answer."""
         bucket = self._bucket(idle)
         self.reuses[bucket] += 1
         self.broken[bucket] += broke
 
     def may_reuse(self, idle_s: float) -> bool:
+        """Whether reuse is safe enough after this idle time, and after all shorter ones."""
         return all(
             self.broken[n] < MAX_BREAK_RATE * (self.reuses[n] + PRIOR_REUSES)
             for n in range(self._bucket(idle_s) + 1)
@@ -274,6 +282,7 @@
     # ---- changes of the list of upstreams ----
 
     def put(self, number: int, address: Address, started: int, ready: bool) -> None:
+        """Add or update an upstream; a changed address or start time means another process."""
         known = self.upstreams.get(number)
         if known is None or (known.address, known.started) != (address, started):
             self.drop(number)
@@ -294,6 +303,7 @@
                 self._close_idle(known)
 
     def drop(self, number: int) -> None:
+        """Remove an upstream and close its idle connections; attempts in flight go on."""
         known = self.upstreams.pop(number, None)
         if known is not None:
             known.open_to_new = False
