--- a/dykeshift/engine/config.py
+++ b/dykeshift/engine/config.py
@@ -88,16 +88,16 @@
     return max(2, min(MAX_OPERATOR_CONNECTIONS, int(limits.get("sockets", 1024)) // OPERATOR_SHARE))
 
 
-def max_connections(limits: dict[str, Any], aside: int = 0) -> int:
+def max_connections(limits: dict[str, Any], reserved: int = 0) -> int:
     """The limit of client connections, and of upstream connections: descriptors and memory suffice for both.
 
-    `aside`: descriptors reserved for other connections. The rest of the descriptors is for accepting,
+    `reserved`: descriptors set apart for other connections. The rest of the descriptors is for accepting,
     discovery and sockets that are being closed.
     """
-    sockets, memory = int(limits.get("sockets", 1024)) - aside, float(limits.get("memory_mb", 192))
-    most = min(int(sockets * CONNECTIONS_SHARE), (sockets - RESERVED_DESCRIPTORS) // 2)
+    sockets, memory = int(limits.get("sockets", 1024)) - reserved, float(limits.get("memory_mb", 192))
+    limit = min(int(sockets * CONNECTIONS_SHARE), (sockets - RESERVED_DESCRIPTORS) // 2)
     return max(
-        4, min(most, int((memory - BASE_MEMORY_MB) * (1 - LONG_REQUESTS_SHARE) / 2 / CONNECTION_MEMORY_MB))
+        4, min(limit, int((memory - BASE_MEMORY_MB) * (1 - LONG_REQUESTS_SHARE) / 2 / CONNECTION_MEMORY_MB))
     )
 
 
--- a/dykeshift/engine/driver.py
+++ b/dykeshift/engine/driver.py
@@ -137,7 +137,7 @@
             self._set_deadline_timer(job)
             for attempt in job.attempts:
                 if attempt is not None:
-                    attempt.until = min(attempt.until, answer_by)
+                    attempt.deadline = min(attempt.deadline, answer_by)
         self._deliver_event(self.balancer.on_termination, answer_by)
 
     def take_word(self, word: Word) -> None:
@@ -413,21 +413,21 @@
             self.ledger.occurrences.violated(Invariant.NO_SEND_AFTER_END, action.request_id)
             return
         number, now = len(job.attempts), self.clock.monotonic_ns()
-        until = job.deadline
+        deadline = job.deadline
         if action.timeout and not job.incoming.early:
-            until = min(until, now + action.timeout)
+            deadline = min(deadline, now + action.timeout)
         if job.closed:
-            until = 0  # nothing is sent, but the module still gets an outcome
-        ended = partial(self._ended, job, number, action.server)
-        message = self.pool.carrier.words(job.incoming)
+            deadline = 0  # nothing is sent, but the module still gets an outcome
+        on_end = partial(self._ended, job, number, action.server)
+        encode = self.pool.carrier.words(job.incoming)
         attempt = self.pool.start(
-            action.server, message, until, ended, action.begin_by, stamp, partial(self._wanted, job)
+            action.server, encode, deadline, on_end, action.begin_by, stamp, partial(self._wanted, job)
         )
         job.attempts.append(attempt)
         job.sent.append(now)
         job.in_flight += 1
-        if until < job.deadline and not job.closed:
-            self.loop.call_later((until - now) / 1e9, self._attempt_timed_out, job, attempt)
+        if deadline < job.deadline and not job.closed:
+            self.loop.call_later((deadline - now) / 1e9, self._attempt_timed_out, job, attempt)
 
     def _attempt_timed_out(self, job: Job, attempt: Attempt) -> None:
         """The time-out of one attempt, earlier than its request's deadline; a started answer is in time."""
--- a/dykeshift/engine/upstream.py
+++ b/dykeshift/engine/upstream.py
@@ -78,42 +78,42 @@
     __slots__ = (
         "pool",
         "upstream",
-        "message",
-        "until",
+        "encode",
+        "deadline",
         "begin_by",
-        "ended",
+        "on_end",
         "connection",
         "idle_before",
         "written_at",
-        "over",
+        "has_ended",
         "stream_end",
         "stamp",
-        "wanted",
+        "client_waits",
     )
 
     def __init__(
         self,
         pool: Pool,
         upstream: Upstream,
-        message: Callable[[int], Message],
-        until: int,
-        ended: Callable[[End], None],
+        encode: Callable[[int], Message],
+        deadline: int,
+        on_end: Callable[[End], None],
         begin_by: int,
         stamp: int,
-        wanted: Callable[[], bool],
+        client_waits: Callable[[], bool],
     ) -> None:
         self.pool = pool
         self.upstream = upstream
-        self.message = message  # encodes the request, given the nanoseconds left
-        self.until = until  # its deadline
+        self.encode = encode  # returns the request, given the nanoseconds left
+        self.deadline = deadline
         self.begin_by = begin_by  # the end of its key's window; 0: none
         self.stamp = stamp  # of the rules that it was decided under
-        self.wanted = wanted  # whether the client still waits for it
-        self.ended = ended
+        self.client_waits = client_waits  # whether the client still waits for the answer
+        self.on_end = on_end  # called with its end, and before that with the start of a streamed answer
         self.connection: Link | None = None
         self.idle_before: float | None = None  # idle seconds of its reused connection; None: a new one
         self.written_at = 0.0
-        self.over = False
+        self.has_ended = False
         self.stream_end: End | None = None  # once an answer is streamed: its end, if it completes
 
     def write(self, connection: Link) -> bool:
@@ -124,7 +124,7 @@
         have begun to drain. Where the fleet agrees on rules, the process may also have been paused since the
         decision.
         """
-        if self.over:
+        if self.has_ended:
             return False
         now = self.pool.clock.monotonic_ns()
         reason = self._reason_not_to_send(now)
@@ -135,7 +135,7 @@
             return False
         self.connection, self.written_at = connection, self.pool.loop.time()
         self.idle_before = self.written_at - connection.idle_since if connection.used else None
-        connection.send(self.message(self.until - now), self)
+        connection.send(self.encode(self.deadline - now), self)
         if self.begin_by and connection.unwritten:
             self.pool.loop.call_later((self.begin_by - now) / 1e9, self._withdraw_if_unsent)
         return True
@@ -148,13 +148,13 @@
         gate = self.pool.gate
         if gate is not None and gate.look() != self.stamp:
             return KeptBack.RULES_CHANGED
-        if self.until <= now:
+        if self.deadline <= now:
             return KeptBack.NO_TIME
         if not self.upstream.open_to_new:
             return KeptBack.UPSTREAM_CLOSED
         if 0 < self.begin_by < now:
             return KeptBack.KEY_WINDOW_OVER
-        return None if self.wanted() else KeptBack.CLIENT_GONE
+        return None if self.client_waits() else KeptBack.CLIENT_GONE
 
     def _withdraw_if_unsent(self) -> None:
         """Withdraw a request that is not fully written when the window of its key ends.
@@ -162,7 +162,7 @@
         It would be complete at the upstream only later, when the key may be forgotten there. A partly written
         request cannot have run.
         """
-        if not self.over and not self.fully_written() and self.connection is not None:
+        if not self.has_ended and not self.fully_written() and self.connection is not None:
             self.connection.close()
             self.finish(End(Outcome.NOT_SENT))
 
@@ -172,7 +172,7 @@
 
     def give_up(self, outcome: Outcome) -> None:
         """End it without an answer and close its connection; if it was never written, as NOT_SENT."""
-        if self.over:
+        if self.has_ended:
             return
         if self.connection is None:
             outcome = Outcome.NOT_SENT
@@ -180,14 +180,14 @@
             self.connection.close()
             if outcome is Outcome.TIMEOUT:
                 self.pool.close_idle_since(self.upstream, self.written_at)
-        self.over = True
-        self.pool.loop.call_soon(self.ended, End(outcome))
+        self.has_ended = True
+        self.pool.loop.call_soon(self.on_end, End(outcome))
 
     def finish(self, end: End) -> None:
         """Report how it ended, unless it has ended before."""
-        if not self.over:
-            self.over = True
-            self.ended(end)
+        if not self.has_ended:
+            self.has_ended = True
+            self.on_end(end)
 
     def whole(self) -> None:
         """Count a request that is fully written."""
@@ -200,9 +200,9 @@
             if self.connection is not None:
                 self.connection.close()
             self.finish(end)
-        elif not self.over:
+        elif not self.has_ended:
             self.stream_end = End(end.outcome, end.report)  # without the answer, so that it is not kept here
-            self.ended(End(end.outcome, end.report, answer, more=True))
+            self.on_end(End(end.outcome, end.report, answer, more=True))
 
     def answered(self, answer: Any) -> None:
         """Report the end of an attempt whose answer is complete."""
@@ -303,7 +303,7 @@
                 self._close_idle(known)
 
     def drop(self, number: int) -> None:
-        """Remove an upstream and close its idle connections; attempts in flight go on."""
+        """Remove an upstream and close its idle connections; attempts that are written go on."""
         known = self.upstreams.pop(number, None)
         if known is not None:
             known.open_to_new = False
@@ -314,20 +314,20 @@
     def start(
         self,
         number: int,
-        message: Callable[[int], Message],
-        until: int,
-        ended: Callable[[End], None],
+        encode: Callable[[int], Message],
+        deadline: int,
+        on_end: Callable[[End], None],
         begin_by: int = 0,
         stamp: int = 0,
-        wanted: Callable[[], bool] = lambda: True,
+        client_waits: Callable[[], bool] = lambda: True,
     ) -> Attempt:
-        """Start an attempt, on an idle connection or on a new one; `ended` gets its end.
+        """Start an attempt, on an idle connection or on a new one; `on_end` gets its end.
 
-        `stamp`: of the rules that it was decided under, where there is a gate. `wanted` is called just before
-        the first byte is written and returns whether the client still waits.
+        `stamp`: of the rules that it was decided under, where there is a gate. `client_waits` is called just
+        before the first byte is written and returns whether the client still waits.
         """
         upstream = self.upstreams.get(number) or Upstream(("", 0), 0, listed_ready=False)
-        attempt = Attempt(self, upstream, message, until, ended, begin_by, stamp, wanted)
+        attempt = Attempt(self, upstream, encode, deadline, on_end, begin_by, stamp, client_waits)
         if not upstream.open_to_new:
             self.loop.call_soon(attempt.finish, End(Outcome.NOT_SENT))
             return attempt
--- a/tests/node/test_upstream.py
+++ b/tests/node/test_upstream.py
@@ -460,7 +460,7 @@
 
 
 def expires(_: Pool, __: tuple[str, int], record: RecordedAttempt) -> None:
-    record.attempt.until = 0
+    record.attempt.deadline = 0
 
 
 @pytest.mark.parametrize("change", [drains, goes, restarts, cancels, expires])
