--- a/dykeshift/engine/driver.py
+++ b/dykeshift/engine/driver.py
@@ -98,7 +98,7 @@
         self.jobs: dict[str, Job] = {}
         self.tenants = Tenants()
         self.ready: set[int] = set()  # upstreams that are ready according to the current list
-        self.listed_ever: dict[int, None] = {}  # ids, most recently listed last; at most EVER
+        self.listed_ever: dict[int, None] = {}  # ids, most recently listed last; bounded
         self.informed = False  # discovery has answered since this process started
         self.waits: Callable[[], bool] = lambda: False  # whether a feature is not ready for clients yet
         self.termination = Termination(self.ledger.occurrences)
@@ -246,14 +246,14 @@
         self._deliver_event(self.balancer.on_discovery_moved)
 
     def note_listed(self, number: int) -> None:
-        """Remember that this upstream was listed; beyond EVER, the one listed longest ago is forgotten."""
+        """Remember that this upstream was listed; of too many, the one listed longest ago is forgotten."""
         self.listed_ever.pop(number, None)
         self.listed_ever[number] = None
         if len(self.listed_ever) > EVER:
             del self.listed_ever[next(iter(self.listed_ever))]
 
     def was_listed(self, number: int) -> bool:
-        """Whether it is listed or banned now, or among the last EVER that were listed."""
+        """Whether it is listed or banned now, or among the remembered ones that were listed most recently."""
         return number in self.listed_ever or number in self.pool.upstreams or number in self.pool.banned
 
     def ban(self, number: int, at: int = 0) -> bool:
