--- a/dykeshift/engine/config.py
+++ b/dykeshift/engine/config.py
@@ -1,4 +1,4 @@
-"""What this balancer is told at its start: the file that NODE_CONFIG names, checked and typed."""
+"""The configuration file of a balancer (named by NODE_CONFIG), validated and typed."""
 
 from __future__ import annotations
 
@@ -11,66 +11,70 @@
 
 Address = tuple[str, int]
 
-SHARE = 0.4  # of the descriptors, for the connections to clients and again for those to upstreams
-# Descriptors that are neither kind's: 14 of the program at rest, discovery's two while it moves, and some for
-# connections that are being accepted or closed. All others together must not take them.
-OWN = 24
-PROGRAM = 16.0  # MB that the program needs with no connection open, measured, with some room
-BUFFERS = 0.128  # MB that one connection holds at the most: a whole body, and again while it is passed on
-CALLERS, CALLERS_SHARE = 16, 16  # operators' connections: so many, or one in so many of the descriptors
-LONG = 0.25  # of the memory beside the program's, for what is kept of long requests
+CONNECTIONS_SHARE = 0.4  # of the file descriptors, for client connections and again for upstream ones
+# File descriptors kept for other uses: 14 of the idle process, two to discovery while its address changes,
+# and some for connections that are being accepted or closed.
+RESERVED_DESCRIPTORS = 24
+BASE_MEMORY_MB = 16.0  # measured without connections, plus some headroom
+CONNECTION_MEMORY_MB = 0.128  # at most, per connection: a whole body, and a second copy while it is forwarded
+# Operators' connections: at most so many, and at most one in so many of the file descriptors.
+MAX_OPERATOR_CONNECTIONS, OPERATOR_SHARE = 16, 16
+LONG_REQUESTS_SHARE = 0.25  # of the memory beyond BASE_MEMORY_MB, to buffer long requests
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; its text is one plain line for people."""
+    """The configuration cannot be used; the message is one line of text."""
 
 
 @dataclass(frozen=True, slots=True)
 class Peering:
-    """How this balancer reaches the others, for features that talk to them."""
+    """How this balancer reaches the other balancers, for features that need it."""
 
     listen: Address
-    peers: tuple[Address, ...]  # one for each balancer of the tier, perhaps its own among them
-    everybody: Address | None  # reaches all at once
-    number: int | None  # this one's among them
-    settings: Any = None  # as the file words them
+    peers: tuple[Address, ...]  # of all balancers of the tier; may include this one's
+    everybody: Address | None  # broadcast address that reaches all of them
+    number: int | None  # index of this balancer in the tier
+    settings: Any = None  # the settings as in the file, not parsed
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """A parsed configuration file."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
-    connections: int  # most that may be open to clients, and as many to upstreams
-    kept: int  # bytes of long requests that may be kept
-    known: Any  # the list as this balancer last had it, in discovery's form; None: never had one
+    connections: int  # limit of client connections, and the same of upstream connections
+    kept: int  # bytes of long requests that may be buffered
+    known: Any  # the cached list of upstreams in the format of discovery; None: none yet
     settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     keepalive: float  # seconds after which an upstream closes an idle connection
     connect_timeout: float  # seconds
-    console: Address | None = None  # where operators call
-    callers: int = 0  # operators' connections at once
-    peering: Peering | None = None  # read only where a feature asks for it
+    console: Address | None = None  # listening address for operators
+    callers: int = 0  # limit of concurrent operator connections
+    peering: Peering | None = None  # parsed only if a feature needs it
 
 
 def read_address(text: Any) -> Address:
+    """Parse host:port; ValueError if it is malformed."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-        raise ValueError(f"{text!r} is no address of the form host:port")
+        raise ValueError(f"{text!r} is not an address of the form host:port")
     return host, int(port)
 
 
-def _no_number(text: str) -> Any:
-    raise ValueError(f"{text} is no number")
+def _reject_non_finite(text: str) -> Any:
+    raise ValueError(f"{text} is not a number")
 
 
 def load(path: str, console: str | None = None, peering: bool = False) -> Config:
-    """`console`: an address that goes before the file's. `peering`: whether that is wanted, too."""
+    """Load a file. `console`: overrides the file's address. `peering`: whether to parse that part, too."""
     try:
         with open(path, encoding="utf-8") as file:
-            raw = json.load(file, parse_constant=_no_number)
+            raw = json.load(file, parse_constant=_reject_non_finite)
     except (OSError, ValueError, RecursionError) as exc:
         raise ConfigError(f"cannot read the configuration {path!r}: {exc}") from None
     try:
@@ -79,32 +83,37 @@
         raise ConfigError(f"bad configuration {path!r}: {exc}") from None
 
 
-def most_callers(limits: dict[str, Any]) -> int:
-    return max(2, min(CALLERS, int(limits.get("sockets", 1024)) // CALLERS_SHARE))
-
+def max_operator_connections(limits: dict[str, Any]) -> int:
+    """The limit of operator connections under these resource limits."""
+    return max(2, min(MAX_OPERATOR_CONNECTIONS, int(limits.get("sockets", 1024)) // OPERATOR_SHARE))
 
-def most_connections(limits: dict[str, Any], aside: int = 0) -> int:
-    """Of either kind, so that neither descriptors nor memory run out when all of them are full.
 
-    `aside`: descriptors that are neither's.
+def max_connections(limits: dict[str, Any], reserved: int = 0) -> int:
+    """The limit of client connections, and of upstream connections: descriptors and memory suffice for both.
 
-    What is left of the descriptors is for accepting, discovery and sockets that are being closed.
+    `reserved`: descriptors set apart for other connections. The rest of the descriptors is for accepting,
+    discovery and sockets that are being closed.
     """
-    sockets, memory = int(limits.get("sockets", 1024)) - aside, float(limits.get("memory_mb", 192))
-    most = min(int(sockets * SHARE), (sockets - OWN) // 2)
-    return max(4, min(most, int((memory - PROGRAM) * (1 - LONG) / 2 / BUFFERS)))
+    sockets, memory = int(limits.get("sockets", 1024)) - reserved, float(limits.get("memory_mb", 192))
+    limit = min(int(sockets * CONNECTIONS_SHARE), (sockets - RESERVED_DESCRIPTORS) // 2)
+    return max(
+        4, min(limit, int((memory - BASE_MEMORY_MB) * (1 - LONG_REQUESTS_SHARE) / 2 / CONNECTION_MEMORY_MB))
+    )
 
 
-def kept_bytes(limits: dict[str, Any]) -> int:
-    return max(1 << 20, int((float(limits.get("memory_mb", 192)) - PROGRAM) * LONG * 1e6))
+def long_request_budget(limits: dict[str, Any]) -> int:
+    """Bytes of long requests that may be buffered under these resource limits; 1 MiB at least."""
+    return max(
+        1 << 20, int((float(limits.get("memory_mb", 192)) - BASE_MEMORY_MB) * LONG_REQUESTS_SHARE * 1e6)
+    )
 
 
-def _peering(raw: Any) -> Peering | None:
+def _parse_peering(raw: Any) -> Peering | None:
     if not raw.get("peer_listen"):
         return None
     peers = tuple(read_address(one) for one in raw.get("peers") or ())
-    me = raw["settings"].get("me")
-    number = me if type(me) is int and 0 <= me < 65535 else None
+    index = raw["settings"].get("me")
+    number = index if type(index) is int and 0 <= index < 65535 else None
     return Peering(
         read_address(raw["peer_listen"]),
         peers,
@@ -115,11 +124,12 @@
 
 
 def parse(raw: Any, peering: bool = False) -> Config:
+    """Validate a decoded file; `peering`: whether to parse that part, too."""
     given = need(raw, "settings", "")
     limits = need(given, "bounds", "settings.")
     seed = str(need(raw, "seed", ""))
     console = read_address(raw["console"]) if raw.get("console") else None
-    callers = most_callers(raw.get("limits", {})) if console else 0
+    callers = max_operator_connections(raw.get("limits", {})) if console else 0
     settings = parse_settings(given)
     if not settings.classes:
         raise Malformed("settings.services is empty: there is nothing to balance")
@@ -130,8 +140,8 @@
         listen=read_address(need(raw, "listen", "")),
         discovery=read_address(need(raw, "discovery", "")),
         seed=int.from_bytes(seed.encode(), "big"),
-        connections=most_connections(raw.get("limits", {}), callers),
-        kept=kept_bytes(raw.get("limits", {})),
+        connections=max_connections(raw.get("limits", {}), callers),
+        kept=long_request_budget(raw.get("limits", {})),
         known=raw.get("known"),
         settings=settings,
         zones=tuple(map(str, given.get("failureDomains", ()))),
@@ -140,5 +150,5 @@
         connect_timeout=float(need(limits, "connectTimeoutNs", "bounds.")) / 1e9,
         console=console,
         callers=callers,
-        peering=_peering(raw) if peering else None,
+        peering=_parse_peering(raw) if peering else None,
     )
--- a/dykeshift/engine/upstream.py
+++ b/dykeshift/engine/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to the upstreams, and how one attempt on them ends; what is spoken on them is a carrier's."""
+"""The pool of connections to the upstreams and the attempts on them; a `Carrier` speaks the protocol."""
 
 from __future__ import annotations
 
@@ -19,218 +19,240 @@
 
 log = logging.getLogger(__name__)
 
-FRESH = 0.8  # of the keepalive: a connection idle for longer is closed, well before the upstream does it
-REST = 0.01  # seconds without use after which a second answer to the last request has come, if ever
-SWEEP = 0.5  # seconds between two looks for such connections
-RISK, DOUBT = 0.15, 10  # part of the reuses, and of so many more, that may break at some idle time
-FADE = 0.9  # what is left of those counts after each look
+KEEPALIVE_SHARE = 0.8  # of the keepalive: longer idle connections are closed, before the upstream does so
+DUPLICATE_ANSWER_WINDOW_S = 0.01  # seconds within which an upstream may send a duplicate answer to a request
+SWEEP_INTERVAL_S = 0.5  # seconds between two checks for connections idle for too long
+# A connection is not reused after an idle time at which this share of the reuses has failed, with so many
+# successful reuses added to the observed ones: some connections break at any age, and a new one costs, too.
+MAX_BREAK_RATE, PRIOR_REUSES = 0.15, 10
+DECAY = 0.9  # factor on those counts at each check
 
 
 @dataclass(slots=True, eq=False)
 class Upstream:
-    """One process of an upstream: a restart makes a new one, and no attempt moves between them."""
+    """One process of an upstream: after a restart it is a new object, and attempts stay with the old one."""
 
     address: Address
     started: int
     listed_ready: bool
-    open_to_new: bool = False  # neither draining, gone, replaced nor out by hand
+    open_to_new: bool = False  # neither draining, gone, replaced nor banned
     idle: list[Link] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class End:
+    """How an attempt ended, or, with `more`, that its streamed answer has started."""
+
     outcome: Outcome
     report: LoadReport | None = None
-    answer: Any = None  # where it is served: what the front hands to its client
-    more: bool = False  # this is its beginning: the end follows
+    answer: Any = None  # if served: what the front end passes to its client
+    more: bool = False  # the answer has only started: the end follows
 
 
 class Gate(Protocol):
-    """Whether the rules that something was decided by are still in force."""
+    """Tells whether the rules that a decision was based on are still in force."""
 
     def look(self) -> int:
-        """A stamp that is another once other rules are. It asks this process's own clock, at every call."""
+        """The stamp of the rules in force; it changes with them. Reads this process's clock at each call."""
 
 
 class Carrier(Protocol):
-    """A protocol towards upstreams: opens its connections and knows what an answer on one proves."""
+    """A protocol spoken to upstreams: makes its connections and maps answers to outcomes."""
 
-    def connection(self, on_idle: Callable[[Any], None], on_lost: Callable[[Any], None]) -> Link: ...
+    def connection(self, on_idle: Callable[[Any], None], on_lost: Callable[[Any], None]) -> Link:
+        """A new connection; it calls `on_idle` when it can be reused and `on_lost` once when it is gone."""
 
     def words(self, asked: Asked) -> Callable[[int], Message]:
-        """How a request is put to an upstream that may take so many nanoseconds."""
+        """Returns the encoder of a request: called with the nanoseconds left to the upstream."""
 
     def end(self, answer: Any) -> End:
-        """What a whole answer means. That none came is told by the connection itself."""
+        """The outcome of a complete answer. A missing one is reported by the connection."""
 
 
 class Attempt:
-    """Written at most once; ends once, never within the call that starts it or gives it up."""
+    """One send of a request to one upstream; the `Exchange` of its connection.
+
+    It is written at most once. It ends exactly once, never within the call that starts it or gives it up.
+    """
 
     __slots__ = (
         "pool",
         "upstream",
-        "message",
-        "until",
+        "encode",
+        "deadline",
         "begin_by",
-        "ended",
+        "on_end",
         "connection",
-        "idle",
-        "written",
-        "over",
-        "begun",
+        "idle_before",
+        "written_at",
+        "has_ended",
+        "stream_end",
         "stamp",
-        "wanted",
+        "client_waits",
     )
 
     def __init__(
         self,
         pool: Pool,
         upstream: Upstream,
-        message: Callable[[int], Message],
-        until: int,
-        ended: Callable[[End], None],
+        encode: Callable[[int], Message],
+        deadline: int,
+        on_end: Callable[[End], None],
         begin_by: int,
         stamp: int,
-        wanted: Callable[[], bool],
+        client_waits: Callable[[], bool],
     ) -> None:
         self.pool = pool
         self.upstream = upstream
-        self.message = message  # the request, told how many nanoseconds are left
-        self.until = until
-        self.begin_by = begin_by
-        self.stamp = stamp  # of the rules that it was decided by
-        self.wanted = wanted  # whether anybody still waits for it
-        self.ended = ended
+        self.encode = encode  # returns the request, given the nanoseconds left
+        self.deadline = deadline
+        self.begin_by = begin_by  # the end of its key's window; 0: none
+        self.stamp = stamp  # of the rules that it was decided under
+        self.client_waits = client_waits  # whether the client still waits for the answer
+        self.on_end = on_end  # called with its end, and before that with the start of a streamed answer
         self.connection: Link | None = None
-        self.idle: float | None = None  # seconds that its connection had not been used; None: a new one
-        self.written = 0.0
-        self.over = False
-        self.begun: End | None = None  # a long answer has; what will be its end, if it comes whole
+        self.idle_before: float | None = None  # idle seconds of its reused connection; None: a new one
+        self.written_at = 0.0
+        self.has_ended = False
+        self.stream_end: End | None = None  # once an answer is streamed: its end, if it completes
 
     def write(self, connection: Link) -> bool:
-        """Send it, unless that is no longer wanted or allowed; says whether the connection was used.
+        """Send the request if that is still wanted and allowed; returns whether the connection was used.
 
-        Protects the drain rule, cancels, deadlines and the windows of keys: while a connect was waited
-        for, the request may have been answered elsewhere, been left by its client or run out of time, and
-        the upstream may have begun to drain. Where the fleet agrees on rules, the process may have stood
-        still since it decided.
+        The check enforces drains, cancellations, deadlines and the windows of keys. During the connect the
+        request may have been answered elsewhere, lost its client or passed its deadline, and the upstream may
+        have begun to drain. Where the fleet agrees on rules, the process may also have been paused since the
+        decision.
         """
-        if self.over:
+        if self.has_ended:
             return False
         now = self.pool.clock.monotonic_ns()
-        reason = self._kept_back(now)
+        reason = self._reason_not_to_send(now)
         if reason is not None:
             self.pool.ledger.occurrences.kept_back[reason] += 1
-            # Later, not now: whoever starts the attempt does not have it yet and could not place its end.
+            # Not within this call: the caller of `Pool.start` does not have the attempt yet.
             self.pool.loop.call_soon(self.finish, End(Outcome.NOT_SENT))
             return False
-        self.connection, self.written = connection, self.pool.loop.time()
-        self.idle = self.written - connection.idle_since if connection.used else None
-        connection.send(self.message(self.until - now), self)
+        self.connection, self.written_at = connection, self.pool.loop.time()
+        self.idle_before = self.written_at - connection.idle_since if connection.used else None
+        connection.send(self.encode(self.deadline - now), self)
         if self.begin_by and connection.unwritten:
-            self.pool.loop.call_later((self.begin_by - now) / 1e9, self._recall)
+            self.pool.loop.call_later((self.begin_by - now) / 1e9, self._withdraw_if_unsent)
         return True
 
-    def _kept_back(self, now: int) -> KeptBack | None:
-        """Why it may not begin at this instant; None: it may. The one place that decides it.
+    def _reason_not_to_send(self, now: int) -> KeptBack | None:
+        """Why the attempt may not be written now; None: it may. The only place that decides this.
 
-        The client is asked last: that costs a system call.
+        The client is checked last, as that costs a system call.
         """
         gate = self.pool.gate
         if gate is not None and gate.look() != self.stamp:
             return KeptBack.RULES_CHANGED
-        if self.until <= now:
+        if self.deadline <= now:
             return KeptBack.NO_TIME
         if not self.upstream.open_to_new:
             return KeptBack.UPSTREAM_CLOSED
         if 0 < self.begin_by < now:
             return KeptBack.KEY_WINDOW_OVER
-        return None if self.wanted() else KeptBack.CLIENT_GONE
+        return None if self.client_waits() else KeptBack.CLIENT_GONE
+
+    def _withdraw_if_unsent(self) -> None:
+        """Withdraw a request that is not fully written when the window of its key ends.
 
-    def _recall(self) -> None:
-        """Protects the windows of keys: what is not whole at an upstream by then would be later, where its
-        key may be forgotten. It can't have run."""
-        if not self.over and not self.on_the_wire() and self.connection is not None:
+        It would be complete at the upstream only later, when the key may be forgotten there. A partly written
+        request cannot have run.
+        """
+        if not self.has_ended and not self.fully_written() and self.connection is not None:
             self.connection.close()
             self.finish(End(Outcome.NOT_SENT))
 
-    def on_the_wire(self) -> bool:
-        """Whether all of it has been handed over: what has not can't run, and may still be kept back."""
+    def fully_written(self) -> bool:
+        """Whether the kernel has all of it; if not, it cannot run yet and may still be withdrawn."""
         return self.connection is not None and not self.connection.unwritten
 
     def give_up(self, outcome: Outcome) -> None:
-        if self.over:
+        """End it without an answer and close its connection; if it was never written, as NOT_SENT."""
+        if self.has_ended:
             return
         if self.connection is None:
             outcome = Outcome.NOT_SENT
         else:
             self.connection.close()
             if outcome is Outcome.TIMEOUT:
-                self.pool.distrust(self.upstream, self.written)
-        self.over = True
-        self.pool.loop.call_soon(self.ended, End(outcome))
+                self.pool.close_idle_since(self.upstream, self.written_at)
+        self.has_ended = True
+        self.pool.loop.call_soon(self.on_end, End(outcome))
 
     def finish(self, end: End) -> None:
-        if not self.over:
-            self.over = True
-            self.ended(end)
+        """Report how it ended, unless it has ended before."""
+        if not self.has_ended:
+            self.has_ended = True
+            self.on_end(end)
 
     def whole(self) -> None:
+        """Count a request that is fully written."""
         self.pool.ledger.attempts += 1
 
     def began(self, answer: Any) -> None:
+        """Report the start of a streamed answer, or the end if the answer is an error."""
         end = self.pool.carrier.end(answer)
-        if end.outcome is not Outcome.OK:  # what is long about it is of no use to anybody
+        if end.outcome is not Outcome.OK:  # an error: the rest of its answer is not needed
             if self.connection is not None:
                 self.connection.close()
             self.finish(end)
-        elif not self.over:
-            self.begun = End(end.outcome, end.report)  # without the answer, which nobody here keeps
-            self.ended(End(end.outcome, end.report, answer, more=True))
+        elif not self.has_ended:
+            self.stream_end = End(end.outcome, end.report)  # without the answer, so that it is not kept here
+            self.on_end(End(end.outcome, end.report, answer, more=True))
 
     def answered(self, answer: Any) -> None:
-        if self.idle is not None:
-            self.pool.staleness.reused(self.idle, False)
-        self.finish(self.begun or self.pool.carrier.end(answer))
+        """Report the end of an attempt whose answer is complete."""
+        if self.idle_before is not None:
+            self.pool.staleness.record_reuse(self.idle_before, False)
+        self.finish(self.stream_end or self.pool.carrier.end(answer))
 
     def broken(self, written: bool) -> None:
-        if self.idle is not None and self.connection is not None:
-            self.pool.staleness.reused(self.idle, not self.connection.fed)
+        """Report the end of an attempt whose connection broke; if not fully written, it cannot have run."""
+        if self.idle_before is not None and self.connection is not None:
+            self.pool.staleness.record_reuse(self.idle_before, not self.connection.fed)
         self.finish(End(Outcome.RESET if written else Outcome.CONNECT_FAILED))
 
 
 class Staleness:
-    """After which time without use connections turn out dead, by powers of two of a millisecond.
+    """After which idle time reused connections turn out dead, in buckets of powers of two of a millisecond.
 
-    Protects against upstreams, or what stands before them, that forget idle connections long before
-    the time they state: a request written to one ends as a reset, which an unsafe one does not survive.
+    Upstreams, or middleboxes before them, may drop idle connections long before the keepalive time that they
+    state. A request written to such a connection ends as a reset, after which an unsafe one cannot be
+    retried.
     """
 
     def __init__(self) -> None:
         self.reuses, self.broken = [0.0] * 20, [0.0] * 20
 
     @staticmethod
-    def _slot(idle: float) -> int:
+    def _bucket(idle: float) -> int:
         return min(int(idle * 1000).bit_length(), 19)
 
-    def reused(self, idle: float, broke: bool) -> None:
-        slot = self._slot(idle)
-        self.reuses[slot] += 1
-        self.broken[slot] += broke
-
-    def fresh(self, idle: float) -> bool:
-        # Doubt: some connections break at any age, and a new one has its price too.
-        return all(self.broken[n] < RISK * (self.reuses[n] + DOUBT) for n in range(self._slot(idle) + 1))
-
-    def fade(self) -> None:
-        """What is not reused shows no more whether it would break: tried again after some seconds."""
+    def record_reuse(self, idle: float, broke: bool) -> None:
+        """Count a reuse after so many idle seconds, and whether the connection broke without an answer."""
+        bucket = self._bucket(idle)
+        self.reuses[bucket] += 1
+        self.broken[bucket] += broke
+
+    def may_reuse(self, idle_s: float) -> bool:
+        """Whether reuse is safe enough after this idle time, and after all shorter ones."""
+        return all(
+            self.broken[n] < MAX_BREAK_RATE * (self.reuses[n] + PRIOR_REUSES)
+            for n in range(self._bucket(idle_s) + 1)
+        )
+
+    def decay(self) -> None:
+        """Age the counts: an idle time that is avoided gives no data, so it is tried again in seconds."""
         for counts in (self.reuses, self.broken):
-            counts[:] = [count * FADE for count in counts]
+            counts[:] = [count * DECAY for count in counts]
 
 
 class Pool:
-    """Bounded: all connections together never exceed `limit`, whatever is asked for."""
+    """The connections to all upstreams; there are never more than `limit` in total."""
 
     def __init__(
         self,
@@ -248,31 +270,32 @@
         self.carrier = carrier
         self.limit = limit
         self.connect_timeout = connect_timeout
-        self.keepalive = keepalive * FRESH
+        self.keepalive = keepalive * KEEPALIVE_SHARE
         self.upstreams: dict[int, Upstream] = {}
-        self.banned: set[int] = set()  # out by hand
-        self.gate: Gate | None = None  # where the fleet agrees on its rules
+        self.banned: set[int] = set()  # by operators
+        self.gate: Gate | None = None  # set where the fleet agrees on its rules
         self.staleness = Staleness()
         self.open = 0
         self.connecting: set[asyncio.Task[None]] = set()
-        self.sweeper = loop.call_later(SWEEP, self.sweep)
+        self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
-    # ---- what discovery tells ----
+    # ---- changes of the list of upstreams ----
 
     def put(self, number: int, address: Address, started: int, ready: bool) -> None:
+        """Add or update an upstream; a changed address or start time means another process."""
         known = self.upstreams.get(number)
         if known is None or (known.address, known.started) != (address, started):
             self.drop(number)
             known = self.upstreams[number] = Upstream(address, started, ready)
         known.listed_ready = ready
-        self._open_or_shut(number)
+        self._update_open_to_new(number)
 
     def ban(self, number: int, out: bool) -> None:
-        """By hand: what waits for a connection to it is taken back, kept connections are closed."""
+        """Set or lift a ban; it withdraws attempts that wait for a connection and closes idle connections."""
         (self.banned.add if out else self.banned.discard)(number)
-        self._open_or_shut(number)
+        self._update_open_to_new(number)
 
-    def _open_or_shut(self, number: int) -> None:
+    def _update_open_to_new(self, number: int) -> None:
         known = self.upstreams.get(number)
         if known is not None:
             known.open_to_new = known.listed_ready and number not in self.banned
@@ -280,6 +303,7 @@
                 self._close_idle(known)
 
     def drop(self, number: int) -> None:
+        """Remove an upstream and close its idle connections; attempts that are written go on."""
         known = self.upstreams.pop(number, None)
         if known is not None:
             known.open_to_new = False
@@ -290,23 +314,24 @@
     def start(
         self,
         number: int,
-        message: Callable[[int], Message],
-        until: int,
-        ended: Callable[[End], None],
+        encode: Callable[[int], Message],
+        deadline: int,
+        on_end: Callable[[End], None],
         begin_by: int = 0,
         stamp: int = 0,
-        wanted: Callable[[], bool] = lambda: True,
+        client_waits: Callable[[], bool] = lambda: True,
     ) -> Attempt:
-        """`stamp`: of the rules that it was decided by, where there is a gate.
+        """Start an attempt, on an idle connection or on a new one; `on_end` gets its end.
 
-        `wanted` is asked as its first byte is about to go out.
+        `stamp`: of the rules that it was decided under, where there is a gate. `client_waits` is called just
+        before the first byte is written and returns whether the client still waits.
         """
         upstream = self.upstreams.get(number) or Upstream(("", 0), 0, listed_ready=False)
-        attempt = Attempt(self, upstream, message, until, ended, begin_by, stamp, wanted)
+        attempt = Attempt(self, upstream, encode, deadline, on_end, begin_by, stamp, client_waits)
         if not upstream.open_to_new:
             self.loop.call_soon(attempt.finish, End(Outcome.NOT_SENT))
             return attempt
-        connection = self._warm(upstream)
+        connection = self._take_idle_connection(upstream)
         if connection is not None:
             if not attempt.write(connection):
                 upstream.idle.append(connection)
@@ -319,50 +344,50 @@
             self.loop.call_soon(attempt.finish, End(Outcome.CONNECT_FAILED))
         return attempt
 
-    def _warm(self, upstream: Upstream) -> Link | None:
+    def _take_idle_connection(self, upstream: Upstream) -> Link | None:
         while upstream.idle:
-            connection = self._least_risky(upstream.idle)
+            connection = self._pop_least_risky(upstream.idle)
             idle = self.loop.time() - connection.idle_since
-            if idle < self.keepalive and self.staleness.fresh(idle) and connection.alive():
+            if idle < self.keepalive and self.staleness.may_reuse(idle) and connection.alive():
                 return connection
             connection.close()
         return None
 
-    def _least_risky(self, idle: list[Link]) -> Link:
-        """The latest used of those that have rested, else the latest used.
+    def _pop_least_risky(self, idle: list[Link]) -> Link:
+        """The last used of those idle for DUPLICATE_ANSWER_WINDOW_S or longer, else the last used of all.
 
-        Protects against an upstream that answers a request twice, the second time some milliseconds later:
-        on a connection in use again by then it would be taken for the answer to the next request.
+        An upstream may answer a request twice, the second time some milliseconds later. On a connection that
+        is in use again by then, the duplicate would be taken for the answer to the next request.
         """
-        rested = self.loop.time() - REST
-        found = next((n for n in range(len(idle) - 1, -1, -1) if idle[n].idle_since <= rested), -1)
+        idle_before = self.loop.time() - DUPLICATE_ANSWER_WINDOW_S
+        found = next((n for n in range(len(idle) - 1, -1, -1) if idle[n].idle_since <= idle_before), -1)
         return idle.pop(found)
 
     def _room(self) -> bool:
         if self.open < self.limit:
             return True
-        rest = max(self.upstreams.values(), key=lambda u: len(u.idle), default=None)
-        if rest is None or not rest.idle:
+        most_idle = max(self.upstreams.values(), key=lambda u: len(u.idle), default=None)
+        if most_idle is None or not most_idle.idle:
             return False
-        rest.idle.pop(0).close()  # its descriptor is free before the new connection comes up
+        most_idle.idle.pop(0).close()  # its descriptor is free before the new connection is open
         return True
 
     async def _connect(self, attempt: Attempt) -> None:
         upstream, counted = attempt.upstream, True
 
         def release() -> None:
-            """Protects the limit: a connect that is given up as it comes up may end in both ways below."""
+            """Count the connection out once: a connect abandoned as it completes ends in both ways below."""
             nonlocal counted
             self.open -= counted
             counted = False
 
-        def idle(connection: Link) -> None:
+        def on_idle(connection: Link) -> None:
             if upstream.open_to_new:
                 upstream.idle.append(connection)
             else:
                 connection.close()
 
-        def lost(connection: Link) -> None:
+        def on_lost(connection: Link) -> None:
             release()
             if connection in upstream.idle:
                 upstream.idle.remove(connection)
@@ -370,27 +395,30 @@
         try:
             async with asyncio.timeout(self.connect_timeout):
                 _, connection = await self.loop.create_connection(
-                    lambda: self.carrier.connection(idle, lost), *upstream.address
+                    lambda: self.carrier.connection(on_idle, on_lost), *upstream.address
                 )
         except Exception as exc:
             if not isinstance(exc, OSError):  # a TimeoutError is one
-                log.exception("a connect failed", extra={"event": "upstream.connect-failed"})
+                log.exception(
+                    "unexpected error while connecting to an upstream",
+                    extra={"event": "upstream.connect-failed"},
+                )
             release()
             attempt.finish(End(Outcome.CONNECT_FAILED))
             return
-        if not connection.alive():  # came up and broke at once: a request written to it might have run
+        if not connection.alive():  # already broken: a request written to it might still have run
             connection.close()
             attempt.finish(End(Outcome.CONNECT_FAILED))
         elif not attempt.write(connection):
-            idle(connection)
+            on_idle(connection)
 
     # ---- upkeep ----
 
-    def distrust(self, upstream: Upstream, since: float) -> None:
-        """An attempt had no answer: drop the connections that have been silent as long.
+    def close_idle_since(self, upstream: Upstream, since: float) -> None:
+        """Close idle connections last used at or before `since`, when an attempt written then has timed out.
 
-        Protects against a machine that vanished: on a connection from before, a request only times
-        out, and may have run; a new connect that does not come up proves that the next one never ran.
+        The machine may have vanished: on an old connection the next request would only time out, and might
+        have run, whereas a failed connect proves that it never ran.
         """
         for connection in [c for c in upstream.idle if c.idle_since <= since]:
             upstream.idle.remove(connection)
@@ -402,10 +430,11 @@
         upstream.idle.clear()
 
     def sweep(self) -> None:
-        self.staleness.fade()
+        """Close connections that have been idle for too long; runs every SWEEP_INTERVAL_S seconds."""
+        self.staleness.decay()
         stale = self.loop.time() - self.keepalive
         for upstream in self.upstreams.values():
             for connection in [c for c in upstream.idle if c.idle_since <= stale]:
                 upstream.idle.remove(connection)
                 connection.close()
-        self.sweeper = self.loop.call_later(SWEEP, self.sweep)
+        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
