--- a/dykeshift/store/__init__.py
+++ b/dykeshift/store/__init__.py
@@ -1,1 +1,1 @@
-"""An append log that says what it lost: checksummed records, snapshots by atomic replacement, torn tails."""
+"""Append-only logs on disk: checksummed records, compaction by atomic replacement, reports of lost data."""
--- a/dykeshift/store/disk.py
+++ b/dykeshift/store/disk.py
@@ -1,4 +1,4 @@
-"""Where the store finds a disk: the machine's own, or one that a simulation hands in."""
+"""The disk that the store uses: the machine's own, or one that a simulation supplies."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Disk(Protocol):
-    """Gives access to directories and to a worker that waits for the disk."""
+    """Opens directories, and provides a worker for blocking disk operations."""
 
     def open(self, path: str) -> Files:
-        """A directory, for this process alone; OSError where it can't be had."""
+        """Open a directory for this process alone. Raises OSError if that fails."""
 
     def worker(self, loop: asyncio.AbstractEventLoop) -> Worker:
         """A worker whose results arrive in `loop`."""
@@ -24,11 +24,11 @@
     """The disk of the machine that the process runs on."""
 
     def open(self, path: str) -> Files:
-        """Lock the directory for this process. Raises OSError where it cannot be had."""
+        """Lock the directory for this process. Raises OSError if that fails."""
         directory = Directory(Path(path))
         directory.lock()
         return directory
 
     def worker(self, loop: asyncio.AbstractEventLoop) -> Worker:
-        """A thread beside the loop."""
+        """A worker thread, outside the event loop."""
         return Thread(loop)
--- a/dykeshift/store/files.py
+++ b/dykeshift/store/files.py
@@ -1,7 +1,7 @@
-"""What the store asks of a file system, and the file system itself.
+"""The file system interface of the store, and its implementation on the machine's file system.
 
-The seam is small on purpose: a test puts a file system of its own behind it that loses what was not synced,
-tears writes, is full, is read-only or fails, at any call.
+The interface is small on purpose: tests implement it with a file system that loses what was not synced, tears
+writes, is full, is read-only or fails, at any call.
 """
 
 from __future__ import annotations
@@ -16,32 +16,35 @@
     """A file opened for appending."""
 
     def write(self, data: bytes) -> None:
-        """All of it, or OSError; after an error any part of it may be there."""
+        """Write all of the data. After an OSError any part of it may have been written."""
 
     def sync(self) -> None:
-        """What was written lasts; after an OSError nobody knows, and the handle is not used again."""
+        """Make what was written durable.
+
+        After an OSError that is unknown, and the handle must not be used again.
+        """
 
     def close(self) -> None:
         """Close the file; what was not synced may be lost."""
 
 
 class Files(Protocol):
-    """One directory. Every method raises OSError as the system does."""
+    """One directory. Every method raises OSError where the system call does."""
 
     def names(self) -> list[str]:
-        """The files in it, in any order."""
+        """The names of the files in the directory, in any order."""
 
     def read(self, name: str) -> bytes | None:
-        """The whole file; None: there is none."""
+        """The whole content of a file; None when it does not exist."""
 
     def append(self, name: str, at: int) -> Handle:
-        """Open for appending, cut to `at` bytes first; a new file is made."""
+        """Open for appending, truncated to `at` bytes first; a missing file is created."""
 
     def replace(self, name: str, data: bytes) -> None:
-        """The file holds this from now on, or what it held before, also after a power cut."""
+        """Replace the content atomically: after a power cut it is either the new or the old one."""
 
     def remove(self, name: str) -> None:
-        """It may come back after a power cut."""
+        """Remove a file. It may reappear after a power cut."""
 
 
 class _File:
@@ -63,14 +66,17 @@
 
 
 class Directory:
-    """A directory of the machine's."""
+    """A directory of the machine's file system."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self._lock: int | None = None
 
     def lock(self) -> None:
-        """Keep other processes of ours out until this one ends; BlockingIOError where one is there."""
+        """Lock out other balancer processes until this one ends.
+
+        Raises BlockingIOError if one holds the lock.
+        """
         self._lock = os.open(self.path / "lock", os.O_WRONLY | os.O_CREAT, 0o600)
         fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
@@ -94,7 +100,7 @@
         return file
 
     def replace(self, name: str, data: bytes) -> None:
-        """Replace a file's content atomically; it lasts once this returns. Raises OSError."""
+        """Replace a file's content atomically; it is durable once this returns. Raises OSError."""
         path, temporary = self.path / name, self.path / f"{name}.new"
         file = _File(temporary, 0)
         try:
@@ -110,7 +116,7 @@
         (self.path / name).unlink(missing_ok=True)
 
     def _sync(self) -> None:
-        """The directory's own entry lasts too."""
+        """Make new and renamed directory entries durable."""
         fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
--- a/dykeshift/store/log.py
+++ b/dykeshift/store/log.py
@@ -1,13 +1,13 @@
 """A log of payloads in one file of a directory: append, commit, compact, recover.
 
-Theory of operation. `append` collects; `commit` writes what is collected in one piece and syncs it: group
-commit, so that many appends cost one sync. Only what a `commit` returned for lasts; the caller acknowledges
-nothing before. `compact` replaces the file by the given payloads atomically.
-
-A log that met an error is FAILED: what it holds on disk is no longer known, so it takes nothing more and
-says so; the caller goes on without it or stops, and a later `open` reads what is really there. (After a
-failed fsync the kernel may have dropped the pages: Rebello et al., USENIX ATC 2020; a second fsync proves
-nothing.)
+Theory of operation. `append` queues a payload; `commit` writes all queued payloads at once and syncs them
+(group commit), so that many appends cost one sync. A payload is durable only once `commit` has returned; the
+caller must acknowledge nothing before. `compact` atomically replaces the file by the given payloads.
+
+After an I/O error the log has failed: what is on disk is no longer known, so `commit` and `compact` raise
+LogError from then on. The caller goes on without the log or stops, and a later `open` reads what is really
+there. (After a failed fsync the kernel may have dropped the pages, so a second fsync proves nothing: Rebello
+et al., USENIX ATC 2020.)
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class LogError(Exception):
-    """The log can take nothing more; the text says why, in one line."""
+    """The log has failed and accepts no more payloads; the text says why, in one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,9 +27,9 @@
     """What opening a log found."""
 
     payloads: list[bytes]
-    torn: int  # bytes of an unfinished record that were cut off
-    holes: list[tuple[int, int]]  # stretches of bytes whose records are lost
-    size: int  # bytes of the file as it was found
+    torn: int  # bytes of an incomplete record that were cut off
+    holes: list[tuple[int, int]]  # ranges of bytes whose records are lost
+    size: int  # bytes of the file before anything was cut off
 
     @property
     def whole(self) -> bool:
@@ -38,7 +38,7 @@
 
 
 class Log:
-    """An append log in the file `name`; `kind` (2 bytes) says what its payloads are."""
+    """An append log in the file `name`; `kind` (2 bytes) identifies the type of its payloads."""
 
     def __init__(self, files: Files, name: str, kind: bytes) -> None:
         self.files, self.name, self.kind = files, name, kind
@@ -48,10 +48,10 @@
         self._pending: list[bytes] = []
 
     def open(self) -> Recovered:
-        """Read what is there, cut a torn tail off, be ready to append.
+        """Read the file, cut off a torn tail, and prepare to append.
 
-        Raises LogFormatError where the file is another's or newer, LogError where it cannot be read or
-        written. Neither changes the file.
+        Raises LogFormatError if the file is no log of this kind or of a newer version, LogError if it cannot
+        be read or written. Neither changes the file.
         """
         try:
             data = self.files.read(self.name)
@@ -71,7 +71,10 @@
         self._pending.append(encode(payload))
 
     def commit(self) -> int:
-        """Write and sync what was appended; how many payloads. LogError: none of them may count as kept."""
+        """Write and sync the queued payloads; returns their number.
+
+        On LogError none of them counts as durable.
+        """
         if self.failed is not None or self._handle is None:
             raise LogError(self.failed or "the log is not open")
         batch, self._pending = self._pending, []
@@ -87,7 +90,7 @@
         return len(batch)
 
     def compact(self, payloads: list[bytes]) -> None:
-        """The log holds these and nothing else from now on."""
+        """Atomically replace the whole content by these payloads."""
         if self.failed is not None or self._handle is None:
             raise LogError(self.failed or "the log is not open")
         data = file_head(self.kind) + b"".join(encode(payload) for payload in payloads)
--- a/dykeshift/store/segments.py
+++ b/dykeshift/store/segments.py
@@ -1,9 +1,9 @@
-"""A log in numbered files, for what is forgotten in the order in which it came.
+"""A log in numbered files (segments), for data that expires in the order in which it was written.
 
-Theory of operation. Payloads go to the newest file; one that is full is followed by the next number, and the
-oldest is removed whole once its owner needs nothing of it any more, so nothing is ever copied. A file that
-failed is left as it is, and `reopen` goes on in a new one: what the failed one holds is read at the next
-start, as far as it got. Everything here waits for the disk: it belongs beside the loop (worker.py).
+Theory of operation. Payloads go to the newest file; a full file is followed by one with the next number, and
+the oldest is removed as a whole once its owner needs nothing in it any more, so nothing is ever copied. A
+file that failed is left as it is, and `reopen` continues in a new one; the readable part of the failed file
+is read at the next start. All methods block on the disk and must run outside the event loop (worker.py).
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from dykeshift.store.files import Files
 from dykeshift.store.log import Log, Recovered
 
-FULL = 4 << 20  # bytes: a file that holds more is followed by the next
+SEGMENT_BYTES = 4 << 20  # a file of this size is followed by the next
 
 
 @dataclass(slots=True)
 class Found:
-    """What one file held."""
+    """What opening one file found."""
 
     number: int
     recovered: Recovered
@@ -26,22 +26,24 @@
 
 @dataclass(slots=True)
 class Segments:
-    """Raises LogError and LogFormatError as Log does; OSError where the directory cannot be read."""
+    """Raises LogError and LogFormatError as Log does, and OSError if the directory cannot be read."""
 
     files: Files
     stem: str
     kind: bytes
-    full: int = FULL
+    full: int = SEGMENT_BYTES
     log: Log | None = None
     number: int = 0
-    numbers: list[int] = field(default_factory=list)  # of the files that are there, oldest first
+    numbers: list[int] = field(default_factory=list)  # of the existing files, oldest first
 
     def _name(self, number: int) -> str:
         return f"{self.stem}-{number:08d}.log"
 
     def open(self) -> list[Found]:
-        """Read all files, oldest first, and be ready to append: to the newest, or behind one that is full or
-        lost something to a new one."""
+        """Read all files, oldest first, and prepare to append.
+
+        Appends go to the newest file, or to a new one if the newest is full or has lost data.
+        """
         prefix, found = f"{self.stem}-", list[Found]()
         for name in sorted(self.files.names()):
             digits = name.removeprefix(prefix).removesuffix(".log")
@@ -59,7 +61,7 @@
         return found
 
     def reopen(self) -> None:
-        """Go on in a new file."""
+        """Continue in a new file."""
         if self.log is not None:
             self.log.close()
         self.number += 1
@@ -68,8 +70,8 @@
         self.numbers.append(self.number)
 
     def write(self, payloads: list[bytes]) -> None:
-        """Append and sync as one; LogError: none of them may count as kept."""
-        assert self.log is not None, "it is not open"
+        """Append and sync together. On LogError none of the payloads counts as durable."""
+        assert self.log is not None, "the log is not open"
         for payload in payloads:
             self.log.append(payload)
         self.log.commit()
--- a/dykeshift/store/worker.py
+++ b/dykeshift/store/worker.py
@@ -1,4 +1,4 @@
-"""What waits for the disk runs beside the loop, one piece of work at a time, in order."""
+"""Runs blocking disk operations outside the event loop, one at a time and in order."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     """Runs blocking work in order, outside the event loop."""
 
     def run(self, work: Callable[[], Any], done: Done) -> None:
-        """Do it; `done` is called in the loop afterwards, never within this call."""
+        """Queue `work`; `done` is called in the loop afterwards, never within this call."""
 
     def close(self) -> None:
-        """What was asked for is done first."""
+        """Finish the queued work first."""
 
 
 class Thread:
-    """One thread, begun with the first piece of work."""
+    """One thread, started with the first piece of work."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -30,13 +30,13 @@
     def run(self, work: Callable[[], Any], done: Done) -> None:
         """Queue `work`; `done` gets its result or its exception in the loop."""
 
-        def over(future: Future[Any]) -> None:
+        def on_done(future: Future[Any]) -> None:
             error = future.exception()
             result = None if error is not None else future.result()
             if not self.loop.is_closed():
                 self.loop.call_soon_threadsafe(done, result, error)
 
-        self.pool.submit(work).add_done_callback(over)
+        self.pool.submit(work).add_done_callback(on_done)
 
     def close(self) -> None:
         """Finish what is queued, then end the thread."""
--- a/tests/store/machine.py
+++ b/tests/store/machine.py
@@ -1,4 +1,4 @@
-"""A disk in memory as a balancer's own."""
+"""A disk in memory, in place of the machine's."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Machine:
-    """`dykeshift.store.disk.Disk`."""
+    """Implements `dykeshift.store.disk.Disk`."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
--- a/tests/store/test_log.py
+++ b/tests/store/test_log.py
@@ -1,4 +1,4 @@
-"""What was committed comes back, what was not is not made up, and every loss is named."""
+"""Committed payloads are read back, nothing else is, and every loss is reported."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 @given(PAYLOADS)
-def test_what_is_written_is_read(payloads: list[bytes]) -> None:
+def test_written_records_are_read_back(payloads: list[bytes]) -> None:
     found = scan(image(payloads), KIND)
     assert found.payloads == payloads and found.end == len(image(payloads)) and not found.torn
 
 
 @given(PAYLOADS, st.data())
-def test_a_file_cut_anywhere_reads_up_to_the_cut(payloads: list[bytes], data: st.DataObject) -> None:
+def test_a_file_truncated_anywhere_is_read_up_to_the_cut(payloads: list[bytes], data: st.DataObject) -> None:
     whole = image(payloads)
     cut = data.draw(st.integers(0, len(whole)))
     found = scan(whole[:cut], KIND)
@@ -38,20 +38,20 @@
 
 
 @given(st.lists(st.binary(min_size=4, max_size=30), min_size=3, max_size=6), st.data())
-def test_a_spoilt_byte_costs_its_record_alone(payloads: list[bytes], data: st.DataObject) -> None:
+def test_a_corrupt_byte_costs_only_its_record(payloads: list[bytes], data: st.DataObject) -> None:
     payloads = [p.replace(MARK, b"..") for p in payloads]
-    spoilt = data.draw(st.integers(0, len(payloads) - 2))
-    begin = len(image(payloads[:spoilt]))
-    at = begin + data.draw(st.integers(0, len(encode(payloads[spoilt])) - 1))
+    corrupted = data.draw(st.integers(0, len(payloads) - 2))
+    begin = len(image(payloads[:corrupted]))
+    at = begin + data.draw(st.integers(0, len(encode(payloads[corrupted])) - 1))
     whole = bytearray(image(payloads))
     whole[at] ^= 0xFF
     found = scan(bytes(whole), KIND)
-    assert found.payloads == payloads[:spoilt] + payloads[spoilt + 1 :]
-    assert found.holes == [(begin, begin + len(encode(payloads[spoilt])))]
+    assert found.payloads == payloads[:corrupted] + payloads[corrupted + 1 :]
+    assert found.holes == [(begin, begin + len(encode(payloads[corrupted])))]
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_read_or_foreign(data: bytes) -> None:
+def test_any_bytes_are_read_or_rejected_as_foreign(data: bytes) -> None:
     for text in (data, file_head(KIND) + data):
         try:
             found = scan(text, KIND)
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize(
     ("head", "said"), [(b"GARBAGE!", "no log"), (b"LTLOG\x02t1", "version 2"), (b"LTLOG\x01zz", "b'zz'")]
 )
-def test_another_file_or_a_newer_format_is_left_alone(head: bytes, said: str) -> None:
+def test_a_foreign_file_or_a_newer_format_is_not_changed(head: bytes, said: str) -> None:
     disk = Disk()
     disk.seen["log"] = disk.kept["log"] = head + b"precious"
     with pytest.raises(LogFormatError, match=said):
@@ -71,7 +71,9 @@
     assert disk.seen["log"] == head + b"precious"
 
 
-def test_commits_last_and_a_new_log_goes_on_behind_them(tmp_path_factory: pytest.TempPathFactory) -> None:
+def test_commits_are_durable_and_a_reopened_log_appends_after_them(
+    tmp_path_factory: pytest.TempPathFactory,
+) -> None:
     folder = Directory(tmp_path_factory.mktemp("store"))
     for first in (0, 3):
         log = Log(folder, "log", KIND)
@@ -91,7 +93,7 @@
     again.close()
 
 
-def test_a_torn_tail_is_cut_off_and_told(tmp_path_factory: pytest.TempPathFactory) -> None:
+def test_a_torn_tail_is_cut_off_and_reported(tmp_path_factory: pytest.TempPathFactory) -> None:
     path = tmp_path_factory.mktemp("store")
     (path / "log").write_bytes(image([b"one", b"two"])[:-2])
     log = Log(Directory(path), "log", KIND)
@@ -104,7 +106,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["full", "read-only", "sync"])
-def test_a_log_that_met_an_error_takes_nothing_more_and_says_why(trouble: str) -> None:
+def test_a_failed_log_accepts_nothing_more_and_says_why(trouble: str) -> None:
     disk = Disk()
     log = Log(disk, "log", KIND)
     log.open()
@@ -125,7 +127,7 @@
     assert again.open().payloads[:1] == [b"kept"]
 
 
-def test_a_directory_that_cannot_be_written_fails_at_the_start() -> None:
+def test_a_directory_that_cannot_be_written_fails_at_open() -> None:
     disk = Disk()
     disk.read_only = True
     with pytest.raises(LogError, match="cannot open log: Read-only"):
@@ -147,7 +149,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(STEPS, st.integers(0, 1000))
-def test_through_any_power_cuts_what_was_committed_is_there_in_order(
+def test_after_any_power_cuts_committed_payloads_are_there_in_order(
     steps: list[tuple[str, bytes]], seed: int
 ) -> None:
     disk = Disk(seed)
@@ -174,7 +176,7 @@
 
 
 @given(st.binary(max_size=FILE_HEAD))
-def test_a_file_whose_head_was_spoilt_while_it_was_made_is_begun_anew(head: bytes) -> None:
+def test_a_file_with_a_damaged_header_and_no_records_is_started_again(head: bytes) -> None:
     disk = Disk()
     disk.seen["log"] = disk.kept["log"] = head
     log = Log(disk, "log", KIND)
