--- a/dykeshift/console/__init__.py
+++ b/dykeshift/console/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' calls: figures, upstreams out by hand, standby."""
+"""The operators' console, an HTTP interface for status and metrics, bans of upstreams, and standby."""
--- a/dykeshift/console/calls.py
+++ b/dykeshift/console/calls.py
@@ -1,6 +1,6 @@
-"""What each call asks and how it is answered: no sockets, no clock. It knows a desk that does as asked.
+"""The console's calls and their answers, sans-I/O. A `Desk` carries them out.
 
-Nothing changes unless the answer is a yes; every no is one plain line.
+Nothing changes unless the status is 200; every error is one line of plain text.
 """
 
 from __future__ import annotations
@@ -10,37 +10,37 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-MAX_BODY = 16_384  # settings of a whole deployment, as a proposal
+MAX_BODY = 16_384  # a proposal contains the settings of a whole deployment
 MAX_NAME = 256
 
 
 Done = Callable[[int, bytes], None]  # status and JSON text, once
-Order = Callable[[bytes, Done], None]  # the call's body, and whom to answer
+Order = Callable[[bytes, Done], None]  # the body of an asynchronous call, and the callback for its answer
 
 
 class Desk(Protocol):
-    """Who carries the calls out. OSError: it can't, and nothing has changed."""
+    """Carries the calls out. On OSError nothing has changed."""
 
     def figures(self) -> dict[str, Any]:
-        """Every figure of the status call, by name, ready for JSON."""
+        """All values of `GET /status/metrics`, by name, ready for JSON."""
 
     def ask(self, path: bytes) -> bytes | None:
-        """What a feature answers there, as JSON; None: there is none that does."""
+        """A feature's answer to GET at this path, as JSON; None if no feature has one."""
 
     def order(self, method: bytes, path: bytes) -> Order | None:
-        """A feature's call that takes its time; None: there is none of that name."""
+        """A feature's asynchronous call; None if there is none."""
 
     def enter(self, name: str) -> bool:
-        """Ban an upstream; False: none of that name was ever listed."""
+        """Ban an upstream. Returns False when no upstream of that name was ever listed."""
 
     def exit(self, name: str) -> bool:
         """Lift the ban of an upstream. Returns False when no upstream of that name was ever listed."""
 
     def standby(self) -> None:
-        """Refuse new requests until `active`; those under way are finished."""
+        """Drain until `active`; requests in flight are finished."""
 
     def active(self) -> bool:
-        """False: the process is ending."""
+        """End the standby. Returns False when the process is ending."""
 
 
 class CallError(Exception):
@@ -62,7 +62,7 @@
 
 
 def _status(desk: Desk, body: bytes) -> Answer:
-    return _said("serving")
+    return _text_answer("serving")
 
 
 def _metrics(desk: Desk, body: bytes) -> Answer:
@@ -74,28 +74,28 @@
     name = name_of(body)
     if not desk.enter(name):
         raise CallError(404, "no upstream of that name was ever listed")
-    return _said("out by hand")
+    return _text_answer("out by hand")
 
 
 def _exit(desk: Desk, body: bytes) -> Answer:
     name = name_of(body)
     if not desk.exit(name):
         raise CallError(404, "no upstream of that name was ever listed")
-    return _said("back")
+    return _text_answer("back")
 
 
 def _standby(desk: Desk, body: bytes) -> Answer:
     desk.standby()
-    return _said("draining")
+    return _text_answer("draining")
 
 
 def _active(desk: Desk, body: bytes) -> Answer:
     if not desk.active():
         raise CallError(409, "the process is ending")
-    return _said("serving")
+    return _text_answer("serving")
 
 
-def _said(text: str) -> Answer:
+def _text_answer(text: str) -> Answer:
     return Answer(200, text.encode() + b"\n")
 
 
@@ -104,10 +104,10 @@
     try:
         given = json.loads(body)
     except (ValueError, RecursionError):
-        raise CallError(400, "the body is no JSON") from None
+        raise CallError(400, "the body is not JSON") from None
     name = given.get("name") if isinstance(given, dict) else None
     if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME:
-        raise CallError(400, 'the body is no object with a "name" of 1 to 256 characters')
+        raise CallError(400, 'the body must be an object with a "name" of 1 to 256 characters')
     return name
 
 
@@ -123,7 +123,7 @@
 
 
 def respond(desk: Desk, method: bytes, target: bytes, body: bytes, done: Callable[[Answer], None]) -> None:
-    """One whole call: `done` is called once, now or when the feature that is asked has its answer."""
+    """Handle one call: `done` is called once, at once or when the feature concerned has its answer."""
     order = desk.order(method, target.partition(b"?")[0])
     if order is None:
         done(answer(desk, method, target, body))
@@ -132,14 +132,14 @@
 
 
 def answer(desk: Desk, method: bytes, target: bytes, body: bytes) -> Answer:
-    """One whole call that is answered at once."""
+    """Handle one call that is answered synchronously."""
     path = target.partition(b"?")[0]
     found = CALLS.get(path)
     if found is None:
         return _feature(desk, method, path)
-    wanted, call = found
-    if method != wanted:
-        return Answer(405, b"the method of this call is " + wanted + b"\n", allow=wanted)
+    allowed, call = found
+    if method != allowed:
+        return Answer(405, b"the method of this call is " + allowed + b"\n", allow=allowed)
     try:
         return call(desk, body)
     except CallError as exc:
@@ -161,12 +161,12 @@
 
 
 def refusal(status: int, text: str) -> Answer:
-    """A plain-text answer that says why nothing was done."""
+    """A plain-text answer that says why the call was refused."""
     return Answer(status, text.encode() + b"\n")
 
 
 def render(answer: Answer, reason: bytes) -> bytes:
-    """The answer as HTTP/1.1 bytes, with `reason` as its reason phrase; the connection closes behind it."""
+    """The answer as HTTP/1.1 bytes, with `reason` as its reason phrase; the connection closes after it."""
     lines = [
         b"HTTP/1.1 %d %s" % (answer.status, reason),
         b"Content-Type: " + answer.kind,
--- a/tests/console/test_calls.py
+++ b/tests/console/test_calls.py
@@ -1,4 +1,4 @@
-"""The six calls without sockets: what each does, what each says no to, and that a no changes nothing."""
+"""The six console calls without sockets: their effect, their errors, and that an error changes nothing."""
 
 from __future__ import annotations
 
@@ -68,7 +68,9 @@
 
 
 @given(st.lists(CALLS, max_size=30))
-def test_every_call_has_one_answer_and_a_no_changes_nothing(made: list[tuple[bytes, bytes, bytes]]) -> None:
+def test_every_call_has_one_answer_and_an_error_changes_nothing(
+    made: list[tuple[bytes, bytes, bytes]],
+) -> None:
     desk, out, draining = Desk(), set[str](), False
     for method, target, body in made:
         before = desk.state()
@@ -99,13 +101,13 @@
         (b"PUT", b"/maintenance/enter", b'["s0"]', 400),
     ],
 )
-def test_what_is_answered_to(method: bytes, target: bytes, body: bytes, status: int) -> None:
+def test_statuses(method: bytes, target: bytes, body: bytes, status: int) -> None:
     got = calls.answer(Desk(), method, target, body)
     assert got.status == status
     assert (got.allow != b"") == (status == 405)
 
 
-def test_what_cannot_be_written_down_is_a_no() -> None:
+def test_a_ban_that_cannot_be_written_is_an_error() -> None:
     class Full(Desk):
         def enter(self, name: str) -> bool:
             raise OSError(28, "No space left on device")
@@ -114,13 +116,13 @@
     assert got.status == 500 and b"No space left" in got.body
 
 
-def test_an_ending_process_is_not_taken_back() -> None:
+def test_an_ending_process_cannot_leave_standby() -> None:
     desk = Desk()
     desk.ending = True
     assert calls.answer(desk, b"PUT", b"/active", b"").status == 409
 
 
-def test_what_a_feature_answers_and_what_is_off() -> None:
+def test_calls_of_features_that_are_on_and_off() -> None:
     desk = Desk()
     assert calls.answer(desk, b"GET", b"/fleet?x=1", b"").body == b'{"settled":true}\n'
     assert calls.answer(desk, b"PUT", b"/fleet", b"").status == 405
--- a/tests/console/test_shell.py
+++ b/tests/console/test_shell.py
@@ -1,4 +1,4 @@
-"""The console on sockets: odd callers, figures that agree with what was seen, bans that reach the pool."""
+"""The console on sockets: unusual callers, metrics that match the traffic, bans that reach the pool."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @asynccontextmanager
-async def called(*stubs: Stub) -> AsyncIterator[tuple[Node, Any]]:
+async def with_console(*stubs: Stub) -> AsyncIterator[tuple[Node, Any]]:
     async with node(*stubs, console="127.0.0.1:0") as balancer:
         address = balancer.services[-1].server.address
 
@@ -63,20 +63,20 @@
         ((b"GET /status HTTP/1.1\r\nUpgrade: h2c\r\nConnection: upgrade\r\n\r\n",), 400),
     ],
 )
-def test_calls_in_every_form_are_answered_once_and_the_connection_ends(
+def test_each_request_gets_one_answer_and_the_connection_closes(
     pieces: tuple[bytes, ...], status: int
 ) -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
-        async with called(stub) as (_, call):
+        async with with_console(stub) as (_, call):
             assert (await call(*pieces)).start.split()[1] == str(status)
 
     run(main())
 
 
-def test_a_call_that_expects_100_continue_hears_it_first() -> None:
+def test_a_call_that_expects_100_continue_gets_it_first() -> None:
     async def main() -> None:
-        async with called() as (balancer, _):
+        async with with_console() as (balancer, _):
             reader, writer = await asyncio.open_connection(*balancer.services[-1].server.address)
             writer.write(b"PUT /standby HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n")
             assert "100" in (await read_message(reader)).start
@@ -87,12 +87,12 @@
     run(main())
 
 
-def test_silent_callers_make_room_the_oldest_first_and_shut_no_live_one_out() -> None:
+def test_silent_callers_are_dropped_oldest_first_and_do_not_block_active_ones() -> None:
     async def main() -> None:
-        async with called() as (balancer, call):
+        async with with_console() as (balancer, call):
             address = balancer.services[-1].server.address
             slow_reader, slow = await asyncio.open_connection(*address)
-            slow.write(b"GET /sta")  # has begun: it is no silent one
+            slow.write(b"GET /sta")  # has sent something: not a silent caller
             await until(lambda: any(c.fed for c in balancer.services[-1].callers))
             silent_ones = [await asyncio.open_connection(*address) for _ in range(50)]
             assert "200" in (await call(b"GET /status HTTP/1.1\r\nHost: b\r\n\r\n")).start
@@ -105,10 +105,10 @@
     run(main())
 
 
-def test_figures_agree_with_what_the_upstreams_and_clients_saw() -> None:
+def test_metrics_match_what_upstreams_and_clients_saw() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
-        async with called(stub) as (balancer, call):
+        async with with_console(stub) as (balancer, call):
             for n in range(5):
                 assert "200" in (await balancer.ask(request("send", rid=f"a{n}"))).start
             stub.handler = resets
@@ -132,10 +132,10 @@
     run(main())
 
 
-def test_a_ban_closes_kept_connections_and_takes_back_what_waits_for_one() -> None:
+def test_a_ban_closes_idle_connections_and_cancels_attempts_waiting_for_one() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
-        async with called(stub) as (balancer, call):
+        async with with_console(stub) as (balancer, call):
             await balancer.ask(request("check", rid="warm"))
             assert "404" in (await call(put("maintenance/enter", "s7"))).start
             assert "200" in (await call(put("maintenance/enter", "s0"))).start
