--- a/dykeshift/handover/__init__.py
+++ b/dykeshift/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes that are one balancer for a while: what the elder leaves to the younger."""
+"""State shared by the old and the new process of a balancer during an upgrade: bans, and who serves."""
--- a/dykeshift/handover/folder.py
+++ b/dykeshift/handover/folder.py
@@ -1,4 +1,4 @@
-"""The folder that two processes of one balancer share: a file of bans, a locked file for each that serves."""
+"""The folder shared by the processes of one balancer: a file of bans, a locked file per serving process."""
 
 from __future__ import annotations
 
@@ -19,41 +19,44 @@
 
 
 class Folder:
-    """Errors of the file system are OSError. Locks are the kernel's (flock) and end with their process."""
+    """Raises OSError where the file system does.
+
+    Locks are flock(2) and end with the process that holds them.
+    """
 
     def __init__(self, path: str) -> None:
         self.path = path
-        self.mark: tuple[int, int] | None = None  # of the file of bans that was read last
-        self.own = ""  # name of this process's file
+        self.read_version: tuple[int, int] | None = None  # version of the file of bans that was read last
+        self.own_file = ""  # name of this process's file, once it serves
         self.descriptor = -1
 
-    def _at(self, name: str) -> str:
+    def _path_of(self, name: str) -> str:
         return os.path.join(self.path, name)
 
     # ---- bans ----
 
     def changed(self) -> bool:
-        """Whether the file of bans is another one than was read last."""
-        return self._mark() != self.mark
+        """Whether the file of bans has changed since it was last read."""
+        return self._file_version() != self.read_version
 
-    def _mark(self) -> tuple[int, int] | None:
+    def _file_version(self) -> tuple[int, int] | None:
         try:
-            stat = os.stat(self._at(BANS))
+            stat = os.stat(self._path_of(BANS))
         except FileNotFoundError:
             return None
         return stat.st_ino, stat.st_mtime_ns
 
     def read(self) -> Bans:
-        """Whatever can be read; what can't is one line of log."""
-        self.mark = self._mark()
+        """The readable bans; anything unreadable is logged in one line."""
+        self.read_version = self._file_version()
         try:
-            with open(self._at(BANS), encoding="utf-8", errors="replace") as file:
+            with open(self._path_of(BANS), encoding="utf-8", errors="replace") as file:
                 return bans.read(file.read())
         except FileNotFoundError:
             return Bans()
-        except bans.Spoilt as exc:
+        except bans.BansFormatError as exc:
             log.warning(
-                "the file of bans is spoilt, %d bans could be read: %s",
+                "the file of bans is corrupt, %d bans could be read: %s",
                 len(exc.bans.out),
                 exc,
                 extra={"event": "bans.spoilt", "fields": {"reason": str(exc)}},
@@ -62,45 +65,48 @@
 
     @contextlib.contextmanager
     def change(self) -> Iterator[Bans]:
-        """Both processes may do this at once: each sees what the other has written, whole."""
-        descriptor = os.open(self._at(LOCK), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        """Change the bans under a lock; the file is replaced atomically, unless the caller raises.
+
+        Two processes may do this at once: each reads what the other has written.
+        """
+        descriptor = os.open(self._path_of(LOCK), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX)
-            held = self.read()
-            yield held
-            draft = self._at(f"{BANS}.{os.getpid()}")
+            stored = self.read()
+            yield stored
+            draft = self._path_of(f"{BANS}.{os.getpid()}")
             with open(draft, "w", encoding="utf-8") as file:
-                file.write(held.text())
-            os.rename(draft, self._at(BANS))
-            self.mark = self._mark()
+                file.write(stored.text())
+            os.rename(draft, self._path_of(BANS))
+            self.read_version = self._file_version()
         finally:
             os.close(descriptor)
 
-    # ---- who serves ----
+    # ---- serving processes ----
 
-    def serve(self, now: int) -> None:
-        """Say that this process serves, from now (nanoseconds of a clock that all processes share) on."""
+    def announce(self, now: int) -> None:
+        """Announce that this process serves since `now` (nanoseconds of a clock common to all processes)."""
         name = f"{SERVING}{now:020d}-{os.getpid()}"
-        # Locked before anybody can see it by its name: unlocked it would be taken for a dead one's.
-        draft = self._at(f"draft-{name}")
+        # Locked before it gets its name: unlocked it would be taken for the file of a process that has ended.
+        draft = self._path_of(f"draft-{name}")
         descriptor = os.open(draft, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX)
-            os.rename(draft, self._at(name))
+            os.rename(draft, self._path_of(name))
         except OSError:
             os.close(descriptor)
             raise
-        self.descriptor, self.own = descriptor, name
+        self.descriptor, self.own_file = descriptor, name
 
     def others(self) -> tuple[int, int]:
-        """How many other processes serve, and how many of them began later than this one."""
-        alive = [name for name in os.listdir(self.path) if name.startswith(SERVING) and name != self.own]
-        alive = [name for name in alive if self._lives(name)]
-        return len(alive), sum(name > self.own for name in alive) if self.own else 0
+        """How many other processes serve, and how many of them started later than this one."""
+        names = [name for name in os.listdir(self.path) if name.startswith(SERVING) and name != self.own_file]
+        alive = [name for name in names if self._is_alive(name)]
+        return len(alive), sum(name > self.own_file for name in alive) if self.own_file else 0
 
-    def _lives(self, name: str) -> bool:
+    def _is_alive(self, name: str) -> bool:
         try:
-            descriptor = os.open(self._at(name), os.O_RDWR | os.O_CLOEXEC)
+            descriptor = os.open(self._path_of(name), os.O_RDWR | os.O_CLOEXEC)
         except FileNotFoundError:
             return False
         try:
@@ -109,14 +115,15 @@
             return True
         else:
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(self._at(name))
+                os.unlink(self._path_of(name))
             return False
         finally:
             os.close(descriptor)
 
-    def leave(self) -> None:
-        if self.own:
+    def withdraw(self) -> None:
+        """Take back the announcement that this process serves."""
+        if self.own_file:
             with contextlib.suppress(OSError):
-                os.unlink(self._at(self.own))
+                os.unlink(self._path_of(self.own_file))
             os.close(self.descriptor)
-            self.own = ""
+            self.own_file = ""
--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -5,8 +5,9 @@
 import signal
 
 if __name__ == "__main__":
-    # Before the imports, which take a quarter of a second: until there is a handler a SIGHUP would end the
-    # program. One that comes waits. `run` in deploy/balancer.toml ignores those that come sooner still.
+    # Before the imports, which take a quarter of a second: until the handler is installed a SIGHUP would end
+    # the program. Blocked, it stays pending. `run` in deploy/balancer.toml ignores those that come even
+    # earlier.
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
 
 import asyncio
@@ -34,13 +35,13 @@
 from dykeshift.engine.server import Front
 
 if TYPE_CHECKING:
-    from dykeshift.node.together import Together
+    from dykeshift.node.together import ProcessGroup
 
 log = logging.getLogger(__name__)
 
 BACKLOG = 1024  # connections that may wait to be accepted
-FIRST_LIST = 3.0  # seconds that a process beside another waits for discovery before it serves: half its time
-TICK = 0.02  # seconds between two looks at what it waits for
+FIRST_LIST_TIMEOUT_S = 3.0  # for discovery, while an older process serves: half of the time for a start
+POLL_INTERVAL_S = 0.02  # between two checks while waiting
 
 
 async def serve(
@@ -52,10 +53,11 @@
     inherited: socket.socket | None = None,
     listen: Listen = listen,
 ) -> None:
-    """Serve until told to end.
+    """Serve until a termination signal.
 
-    `inherited`: a listener that other processes of this balancer have too, instead of `given.listen`.
-    `listen` opens listeners. Clients are accepted last of all: whatever else may fail, nobody waits then.
+    `inherited`: a listener that other processes of this balancer share, instead of `given.listen`. `beside`:
+    the features. `listen` opens listeners. Clients are accepted after everything else has started, so that no
+    client waits if a part of the start fails.
     """
     loop = asyncio.get_running_loop()
     parts = assemble(loop, clock, given, load, beside)
@@ -67,17 +69,17 @@
     loop.add_signal_handler(signal.SIGTERM, shutdown.terminate)
     loop.add_signal_handler(signal.SIGINT, shutdown.terminate)
     loop.add_signal_handler(signal.SIGHUP, parts.reload)
-    together = meet(loop, clock, driver, front) if inherited is not None else None
-    learn(parts, given)
+    together = join_process_group(loop, clock, driver, front) if inherited is not None else None
+    start_discovery(parts, given)
     if inherited is not None:
-        await first_list(driver, together, shutdown)
+        await wait_for_first_list(driver, together, shutdown)
     offers = features.Offers()
     services = await beside.start(
         loop, clock, given, driver, inherited is not None, offers, parts.reload, listen
     )
     if given.console is not None:
         services.append(await open_console(loop, clock, given, driver, shutdown, together, offers, listen))
-    if shutdown.begun:  # told to end as it started: nobody has come to it yet
+    if shutdown.begun:  # terminated during its start: no client has been accepted yet
         await shutdown.close(front, services)
         return
     if together is not None:
@@ -96,8 +98,8 @@
             together.leave()
 
 
-def learn(parts: Assembly, given: config.Config) -> None:
-    """Begin to hear of the upstreams."""
+def start_discovery(parts: Assembly, given: config.Config) -> None:
+    """Apply the known list of upstreams and begin to watch discovery."""
     parts.driver.start()
     parts.discovery.take_known(given.known)
     if not given.settings.ask_discovery:
@@ -110,11 +112,11 @@
     given: config.Config,
     driver: Driver,
     shutdown: Shutdown,
-    together: Together | None,
+    together: ProcessGroup | None,
     offers: features.Offers,
     listen: Listen,
 ) -> Service:
-    """Answer operators' calls. Raises ConfigError where its address cannot be used."""
+    """Start the operators' console. Raises ConfigError if its address cannot be used."""
     from dykeshift.console.shell import Console
     from dykeshift.node.desk import Desk
 
@@ -128,45 +130,50 @@
     return console
 
 
-def meet(loop: asyncio.AbstractEventLoop, clock: Clock, driver: Driver, front: Front) -> Together | None:
-    """The other processes of this balancer, through the folder that they share, if there is one."""
+def join_process_group(
+    loop: asyncio.AbstractEventLoop, clock: Clock, driver: Driver, front: Front
+) -> ProcessGroup | None:
+    """Join the other processes of this balancer, through the shared folder in $TMPDIR, if it is set."""
     path = os.environ.get("TMPDIR")
     if not path:
-        log.warning("TMPDIR is not set: bans do not outlive this process", extra={"event": "handover.alone"})
+        log.warning(
+            "TMPDIR is not set: bans are lost when this process ends", extra={"event": "handover.alone"}
+        )
         return None
     from dykeshift.handover.folder import Folder
-    from dykeshift.node.together import Together
+    from dykeshift.node.together import ProcessGroup
 
-    together = Together(loop, clock, Folder(path), driver, front)
+    together = ProcessGroup(loop, clock, Folder(path), driver, front)
     together.restore()
     return together
 
 
-async def first_list(driver: Driver, together: Together | None, shutdown: Shutdown) -> None:
-    """Wait for discovery: the list from before the start may be as old as the process that serves already.
+async def wait_for_first_list(driver: Driver, together: ProcessGroup | None, shutdown: Shutdown) -> None:
+    """Wait for the first list from discovery, and for the bans if they could not be read at once.
 
-    And for the bans, where they cannot be read at once.
+    The list known at the start may be as old as the process that already serves.
     """
-    until = driver.loop.time() + FIRST_LIST
+    until = driver.loop.time() + FIRST_LIST_TIMEOUT_S
 
     def informed() -> bool:
         return driver.informed and (together is None or together.restored)
 
     while not informed() and not shutdown.begun and driver.loop.time() < until:
-        await asyncio.sleep(TICK)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def settle(*_: object) -> None:
-    """What only the program that owns its process may do, once it serves."""
+def finish_startup(*_: object) -> None:
+    """Process-wide steps once the program serves: unblock SIGHUP, and exempt what exists from collection."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
     gc.collect()
-    gc.freeze()  # what lives as long as the program is not walked again by each collection
+    gc.freeze()  # long-lived objects are not traversed by each collection
 
 
-async def owned(serving: Coroutine[Any, Any, None]) -> None:
-    """What only the program that owns its process may do once it has served.
+async def run_as_program(serving: Coroutine[Any, Any, None]) -> None:
+    """Serve, then block SIGHUP again.
 
-    As the event loop closes, SIGHUP has its default again, which would end the process before its exit.
+    As the event loop closes, SIGHUP gets back its default action, which would kill the process before its
+    exit.
     """
     try:
         await serving
@@ -175,16 +182,18 @@
 
 
 def inherited() -> socket.socket | None:
-    """The listener that the platform holds and this process was given, if it was."""
+    """The listener that the platform holds and passed to this process by NODE_INHERITED_FD, if any."""
     text = os.environ.get("NODE_INHERITED_FD")
     if not text:
         return None
     try:
         found = socket.socket(fileno=int(text))
         if not found.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise ValueError("it does not listen")
+            raise ValueError("the socket does not listen")
     except (ValueError, OSError) as exc:
-        raise config.ConfigError(f"NODE_INHERITED_FD is {text!r}, which is no listener: {exc}") from None
+        raise config.ConfigError(
+            f"NODE_INHERITED_FD is {text!r}, which is not a listening socket: {exc}"
+        ) from None
     return found
 
 
@@ -194,7 +203,7 @@
     try:
         if not path:
             raise config.ConfigError("NODE_CONFIG is not set; it names the configuration file")
-        # It would end the program; one that comes before there is a handler waits until there is.
+        # A SIGHUP would end the program; blocked, it stays pending until the handler is installed.
         signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
         load = partial(config.load, path, os.environ.get("NODE_CONSOLE"))
         given = load()
@@ -203,7 +212,11 @@
         if chosen.peering():
             load = partial(load, peering=True)
             given = load()
-        uvloop.run(owned(serve(given, load, clock, started=settle, beside=chosen, inherited=inherited())))
+        uvloop.run(
+            run_as_program(
+                serve(given, load, clock, started=finish_startup, beside=chosen, inherited=inherited())
+            )
+        )
     except config.ConfigError as exc:
         print(f"balancer: {exc}", file=sys.stderr)
         return 2
--- a/tests/handover/test_bans.py
+++ b/tests/handover/test_bans.py
@@ -1,4 +1,4 @@
-"""Bans as text: nothing readable is dropped. The folder: whole files, locks that end with their holder."""
+"""The text of bans keeps every readable ban; the folder's files are atomic, its locks end with a process."""
 
 from __future__ import annotations
 
@@ -12,19 +12,21 @@
 from hypothesis import strategies as st
 
 from dykeshift.handover import bans
-from dykeshift.handover.bans import Bans, Spoilt, read
+from dykeshift.handover.bans import Bans, BansFormatError, read
 from dykeshift.handover.folder import BANS, Folder
 
 EVENTS = st.lists(
     st.tuples(
-        st.sampled_from(["enter", "exit"]), st.sampled_from(["s0", "s1", "é"]), st.integers(1, 2 * bans.KEPT)
+        st.sampled_from(["enter", "exit"]),
+        st.sampled_from(["s0", "s1", "é"]),
+        st.integers(1, 2 * bans.ENDED_BAN_RETENTION_MS),
     ),
     max_size=30,
 )
 
 
 @given(EVENTS)
-def test_what_is_written_is_read_again_and_is_what_a_plain_model_says(
+def test_written_bans_are_read_back_and_match_a_simple_model(
     events: list[tuple[str, str, int]],
 ) -> None:
     held, out, now = Bans(), dict[str, int](), 0
@@ -49,19 +51,19 @@
         ("[]", set()),
         ("7", set()),
         ("[" * 100_000, set()),
-        ('{"v":9,"out":{"s0":5},"back":{}}', {"s0"}),  # of a later version: a ban is a ban
+        ('{"v":9,"out":{"s0":5},"back":{}}', {"s0"}),  # of a later version: its bans hold all the same
         ('{"out":{"s0":5,"s1":"noon"}}', {"s0", "s1"}),
         ('{"v":1,"out":{"s0":-5,"s1":5},"back":{"s2":[1]}}', {"s0", "s1"}),
         ('{"v":1,"out":["s0"],"back":{}}', set()),
     ],
 )
-def test_a_spoilt_text_says_so_and_keeps_every_ban_that_can_be_read(text: str, kept: set[str]) -> None:
-    with pytest.raises(Spoilt) as caught:
+def test_a_corrupt_text_is_reported_and_every_readable_ban_is_kept(text: str, kept: set[str]) -> None:
+    with pytest.raises(BansFormatError) as caught:
         read(text)
     assert set(caught.value.bans.out) == kept and "\n" not in str(caught.value)
 
 
-def test_two_holders_of_the_folder_add_to_one_file_and_see_each_other(tmp_path: Path) -> None:
+def test_two_processes_write_to_one_file_and_see_each_other_s_bans(tmp_path: Path) -> None:
     one, other = Folder(str(tmp_path)), Folder(str(tmp_path))
     assert one.read() == Bans() and not one.changed()
     with one.change() as held:
@@ -72,10 +74,10 @@
     assert other.read().out == {"s0": 5, "s1": 6} and one.changed()
     assert one.read().out == {"s0": 5, "s1": 6}
     assert not one.changed()
-    assert not [name for name in tmp_path.iterdir() if name.name.startswith(f"{BANS}.")]  # no drafts
+    assert not [name for name in tmp_path.iterdir() if name.name.startswith(f"{BANS}.")]  # no temporary files
 
 
-def test_a_write_that_fails_leaves_the_file_as_it_was(tmp_path: Path) -> None:
+def test_a_failed_write_leaves_the_file_as_it_was(tmp_path: Path) -> None:
     folder = Folder(str(tmp_path))
     with folder.change() as held:
         held.enter("s0", 5)
@@ -85,24 +87,24 @@
     assert json.loads((tmp_path / BANS).read_text())["out"] == {"s0": 5}
 
 
-HOLDS = """
+SERVING_PROCESS = """
 import sys, time
 from dykeshift.handover.folder import Folder
 folder = Folder(sys.argv[1])
-folder.serve(int(sys.argv[2]))
+folder.announce(int(sys.argv[2]))
 print("serving", flush=True)
 sys.stdin.read()
 """
 
 
-def test_who_serves_is_seen_with_its_age_and_one_that_is_killed_is_missed_at_once(tmp_path: Path) -> None:
+def test_serving_processes_are_counted_by_age_and_a_killed_one_at_once_no_longer(tmp_path: Path) -> None:
     folder = Folder(str(tmp_path))
-    folder.serve(100)
+    folder.announce(100)
     assert folder.others() == (0, 0)
     others = []
     for since in (50, 200):
         other = subprocess.Popen(
-            [sys.executable, "-c", HOLDS, str(tmp_path), str(since)],
+            [sys.executable, "-c", SERVING_PROCESS, str(tmp_path), str(since)],
             text=True,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
@@ -114,6 +116,8 @@
         other.kill()
         other.communicate()
         assert folder.others() == ((1, 1), (0, 0))[n]
-    assert len([name for name in tmp_path.iterdir() if "serving" in name.name]) == 1  # the dead are gone
-    folder.leave()
+    assert (
+        len([name for name in tmp_path.iterdir() if "serving" in name.name]) == 1
+    )  # files of killed processes are removed
+    folder.withdraw()
     assert Folder(str(tmp_path)).others() == (0, 0)
--- a/tests/handover/test_together.py
+++ b/tests/handover/test_together.py
@@ -1,4 +1,4 @@
-"""Two processes' bans in one process: restored, heard of, and ended by a word that says so alone."""
+"""Bans shared by two processes: restored, applied in both, and lifted only by an explicit end."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from dykeshift.handover.bans import Bans
 from dykeshift.handover.folder import BANS, Folder
 from dykeshift.interface import ListKind
-from dykeshift.node.together import Together
+from dykeshift.node.together import ProcessGroup
 from tests.harness import MS, World, entry
 from tests.node.messages import answer
 from tests.node.stubs import Node, Stub, node, run, says
@@ -20,18 +20,18 @@
 S0 = number_of("s0")
 
 
-def beside(balancer: Node, folder: Folder) -> Together:
+def group_of(balancer: Node, folder: Folder) -> ProcessGroup:
     front = balancer.front
-    return Together(front.loop, front.clock, folder, front.driver, front)
+    return ProcessGroup(front.loop, front.clock, folder, front.driver, front)
 
 
-def test_bans_of_another_process_hold_here_until_they_are_ended(
+def test_bans_of_another_process_hold_until_they_are_lifted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
-            here, other = beside(balancer, Folder(str(tmp_path))), beside(balancer, Folder(str(tmp_path)))
+            here, other = group_of(balancer, Folder(str(tmp_path))), group_of(balancer, Folder(str(tmp_path)))
             banned = balancer.front.driver.balancer.banned
             other.enter("s0")
             here.restore()
@@ -42,7 +42,7 @@
                 else:
                     (tmp_path / BANS).write_text(spoilt)
                 here.restore()
-                assert set(banned) == {S0}  # gone or spoilt, a file ends no ban
+                assert set(banned) == {S0}  # a missing or corrupt file lifts no ban
             other.enter("s0")
             other.exit("s0")
             here.restore()
@@ -56,7 +56,7 @@
                 return ban(number, at)
 
             monkeypatch.setattr(driver, "ban", noted)
-            other.enter("s7")  # another's news: the end told before is none again
+            other.enter("s7")  # a change by the other process: the earlier end is not applied again
             here.restore()
             assert told == [number_of("s7")]
             other.enter("s0")
@@ -66,35 +66,35 @@
     run(main())
 
 
-def test_two_that_serve_share_connections_and_bytes_and_the_elder_lets_go(tmp_path: Path) -> None:
+def test_two_serving_processes_share_connections_and_memory_and_the_older_one_drains(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as one, node(stub) as two:
-            elder, younger = (beside(balancer, Folder(str(tmp_path))) for balancer in (one, two))
+            elder, younger = (group_of(balancer, Folder(str(tmp_path))) for balancer in (one, two))
             whole = one.front.limit, one.front.driver.pool.limit, one.front.budget.limit
             elder.serve()
             younger.serve()
-            elder._look()
+            elder._poll()
             for balancer in (one, two):
                 share = balancer.front.limit, balancer.front.driver.pool.limit, balancer.front.budget.limit
                 assert share == tuple(most // 2 for most in whole)
             assert one.front.drain.yielding and not two.front.drain.yielding
             younger.leave()
-            elder._look()
+            elder._poll()
             assert one.front.budget.limit == whole[2] and not one.front.drain.yielding
             elder.leave()
 
     run(main())
 
 
-def test_a_ban_lost_at_an_upgrade_is_seen(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_ban_lost_at_an_upgrade_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Folder, "read", lambda self: Bans())
     with pytest.raises(AssertionError):
-        test_bans_of_another_process_hold_here_until_they_are_ended(tmp_path, monkeypatch)
+        test_bans_of_another_process_hold_until_they_are_lifted(tmp_path, monkeypatch)
 
 
-def to_cold(worlds: list[World]) -> int:
-    """Requests in turn to each world's balancer for 12 s, with one cold server of ten; how many it gets."""
+def sent_to_cold_server(worlds: list[World]) -> int:
+    """How many requests the cold one of ten servers gets in 12 s, with the balancers of `worlds` in turn."""
     sent = 0
     for made in worlds:
         made.announce(ListKind.FULL, *(entry(n) for n in range(9)), entry(9, started=made.now))
@@ -108,15 +108,15 @@
     return sent
 
 
-def test_two_processes_together_send_a_cold_server_what_one_sends() -> None:
-    """Credit grows with the requests that a process gets: half each, half of it each."""
-    one = [to_cold([World(seed=seed)]) for seed in range(4)]
-    two = [to_cold([World(seed=seed), World(seed=seed + 50)]) for seed in range(4)]
+def test_two_processes_together_send_a_cold_server_as_much_as_one() -> None:
+    """Slow-start credit grows with the requests of a process: with half of them each gives half of it."""
+    one = [sent_to_cold_server([World(seed=seed)]) for seed in range(4)]
+    two = [sent_to_cold_server([World(seed=seed), World(seed=seed + 50)]) for seed in range(4)]
     assert sum(two) <= 1.15 * sum(one) and sum(one) > 50
 
 
 class SteppedClock(SystemClock):
-    """The machine's own, its wall clock stepped by a test."""
+    """The system clock with a wall clock that a test can step."""
 
     step = 0  # nanoseconds
 
@@ -125,13 +125,13 @@
 
 
 @pytest.mark.parametrize("step", [-3600, -7, 7, 3600])
-def test_bans_hold_and_end_whatever_the_wall_clock_does_between(step: int, tmp_path: Path) -> None:
-    """A ban entered after a step back looked ended by the end of the one before it, or never ended."""
+def test_bans_hold_and_end_despite_steps_of_the_wall_clock(step: int, tmp_path: Path) -> None:
+    """After a step back a new ban looked lifted by the end of the last one, or could not be lifted."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
-            here, other = beside(balancer, Folder(str(tmp_path))), beside(balancer, Folder(str(tmp_path)))
+            here, other = group_of(balancer, Folder(str(tmp_path))), group_of(balancer, Folder(str(tmp_path)))
             here.clock = other.clock = clock = SteppedClock()
             driver = balancer.front.driver
             other.enter("s0")
@@ -149,6 +149,6 @@
             other.exit("s0")
             here.restore()
             assert S0 not in driver.balancer.banned
-            assert driver.balancer.servers[S0].entry.started >= before  # cold from its return on
+            assert driver.balancer.servers[S0].entry.started >= before  # cold from the end of the ban on
 
     run(main())
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two real processes on one inherited listener: each request answered once, bans kept, no closed door."""
+"""Two real processes on one inherited listener: requests are answered once, bans kept, no client refused."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Lists(Registry):
-    """Tells each that comes the whole list at once, and holds its watch from then on."""
+    """A discovery that answers each client with the full list at once and then leaves its watch open."""
 
     known: Any = None
 
@@ -35,14 +35,14 @@
 
 
 class Site:
-    """A listener that the platform holds, and the processes that it starts beside one another."""
+    """A platform that holds the listener and starts the processes that share it."""
 
     def __init__(self, folder: Path, listener: socket.socket, registry: Registry, known: Any) -> None:
         self.folder, self.listener, self.registry, self.known = folder, listener, registry, known
         self.processes: list[asyncio.subprocess.Process] = []
 
     async def start(self, **env: str) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
-        """Once it says yes."""
+        """Start a process and wait until its console answers 200; also returns the console's address."""
         with socket.socket() as one:
             one.bind(("127.0.0.1", 0))
             console: tuple[str, int] = one.getsockname()
@@ -107,7 +107,7 @@
                     await process.wait()
 
 
-def test_every_request_is_answered_while_one_process_follows_the_other(tmp_path: Path) -> None:
+def test_every_request_is_answered_during_two_upgrades(tmp_path: Path) -> None:
     async def main() -> None:
         stubs = [await Stub(says(answer(b"done"))).start() for _ in range(4)]
         async with site(tmp_path, *stubs) as made:
@@ -141,13 +141,13 @@
     run(main())
 
 
-def test_a_taken_request_is_answered_by_the_old_process_after_sigterm(tmp_path: Path) -> None:
+def test_the_old_process_answers_an_accepted_request_after_sigterm(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with site(tmp_path, stub) as made:
             old, _ = await made.start()
             busy, probe = await made.open(), await made.open()
-            for caller in (busy, busy, probe, probe):  # whoever has asked twice is kept for long
+            for caller in (busy, busy, probe, probe):  # a connection with two requests is kept alive longer
                 assert "200" in (await caller.ask(READY)).start
             await made.start()
             while "connection" not in (await probe.ask(READY)).headers:
@@ -163,7 +163,9 @@
     run(main())
 
 
-def test_bans_are_written_before_the_yes_and_hold_in_both_processes_and_after(tmp_path: Path) -> None:
+def test_bans_are_written_before_the_answer_and_hold_in_both_processes_and_after_a_restart(
+    tmp_path: Path,
+) -> None:
     async def main() -> None:
         banned, other = [await Stub(says(answer(body))).start() for body in (b"banned", b"other")]
 
@@ -177,7 +179,7 @@
             assert set(json.loads((tmp_path / BANS).read_text())["out"]) == {"s0"}
             new, second = await made.start()
             assert await asked(made, 1) == {b"other"} and not banned.seen
-            # It ends at the new one, and the old one hears it; then the other way about.
+            # Lifted and entered at the new process, applied by the old one.
             assert "200" in (await made.call(second, "PUT", "/maintenance/exit", "s0")).start
             assert "200" in (await made.call(second, "PUT", "/maintenance/enter", "s1")).start
             while b'"hosts_down":1' not in (await made.call(console, "GET", "/status/metrics")).body:
@@ -187,7 +189,7 @@
             assert await made.call(second, "PUT", "/maintenance/enter", "s9") is not None
             new.kill()
             await new.wait()
-            (tmp_path / BANS).write_text('{"v":3,"out":{"s1":1},"back":{}}')  # another version's
+            (tmp_path / BANS).write_text('{"v":3,"out":{"s1":1},"back":{}}')  # written by another version
             _, third = await made.start()
             assert b'"hosts_down":1' in (await made.call(third, "GET", "/status/metrics")).body
             assert b"other" not in await asked(made, 2)
@@ -195,7 +197,7 @@
     run(main())
 
 
-def test_a_younger_process_that_dies_leaves_the_old_one_whole(tmp_path: Path) -> None:
+def test_if_the_new_process_dies_the_old_one_serves_on(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(says(answer(b"done"))).start()
         async with site(tmp_path, stub) as made:
@@ -216,7 +218,7 @@
     run(main())
 
 
-def test_without_a_folder_it_serves_and_what_is_no_listener_is_one_line(tmp_path: Path) -> None:
+def test_it_serves_without_a_folder_and_reports_a_bad_listener_in_one_line(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(says(answer(b"done"))).start()
         async with site(tmp_path, stub) as made:
--- a/tests/node/test_carried_over.py
+++ b/tests/node/test_carried_over.py
@@ -1,4 +1,4 @@
-"""What a process finds at its start may be of another configuration: a known list, a folder of bans."""
+"""A process may start with state of another configuration: a known list of servers, a folder of bans."""
 
 from __future__ import annotations
 
@@ -10,23 +10,25 @@
 
 from dykeshift.engine.discovery import number_of
 from dykeshift.handover.folder import Folder
-from dykeshift.node.together import Together
+from dykeshift.node.together import ProcessGroup
 from tests.node.messages import Message, answer, instance, listing, request
 from tests.node.stubs import Stub, node, run, says, service, settings, until
 
 
 def elsewhere(name: str, stub: Stub, **changes: Any) -> dict[str, Any]:
-    """An entry in words of another configuration: zone, kind and cell are none of this one's."""
+    """An entry of another configuration: its zone, machine kind and cell are unknown in this one."""
     return instance(name, stub.address, zone="elsewhere", machineType="huge", cell=977, **changes)
 
 
-def test_a_known_list_in_words_of_another_configuration_serves_until_the_true_one_comes() -> None:
+def test_a_known_list_of_another_configuration_serves_until_discovery_answers() -> None:
     async def main() -> None:
         here, there = await Stub(says(answer(b"here"))).start(), await Stub(says(answer(b"there"))).start()
         async with node(here, known=listing(900, True, elsewhere("x9", there))) as balancer:
             assert (await balancer.ask(request(rid="r0"))).body == b"there"
             await until(lambda: bool(balancer.registry.paths))
-            balancer.registry.put(listing(3, False))  # another count: it never had what was known
+            balancer.registry.put(
+                listing(3, False)
+            )  # other generations: this discovery never had the known list
             balancer.registry.put(listing(3, True, instance("s0", here.address)))
             await until(lambda: balancer.front.driver.ready == {number_of("s0")})
             assert set(balancer.front.driver.balancer.servers) >= {number_of("s0")}
@@ -37,8 +39,8 @@
     run(main())
 
 
-def test_a_key_is_not_repeated_by_what_a_known_list_says_of_zones() -> None:
-    """Who lives at an address now may be of another zone, which knows no such key."""
+def test_a_keyed_request_is_not_retried_by_the_zones_of_a_known_list() -> None:
+    """The server at an address may now be in another zone, in which the idempotency key is unknown."""
 
     async def main() -> None:
         async def breaks(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
@@ -55,8 +57,8 @@
     run(main())
 
 
-def test_zones_that_the_settings_do_not_name_are_not_taken_for_one() -> None:
-    """A key that holds within a zone was repeated in another: both counted as no zone."""
+def test_zones_missing_in_the_settings_are_not_the_same_zone() -> None:
+    """A key valid within one zone was retried in another, because both were unknown and treated as equal."""
 
     async def main() -> None:
         async def breaks(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
@@ -74,7 +76,7 @@
     run(main())
 
 
-def test_a_known_address_that_belongs_to_another_now_is_given_up() -> None:
+def test_a_known_address_that_now_belongs_to_another_server_is_dropped() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         async with node(stub, known=listing(3, True, elsewhere("x9", stub))) as balancer:
@@ -86,10 +88,10 @@
     run(main())
 
 
-def test_run_does_not_read_the_folder_of_another_process(
+def test_a_process_without_an_inherited_listener_does_not_use_the_shared_folder(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Only who is handed a listener shares one; $TMPDIR is each balancer's own and empty at its start."""
+    """Only processes with an inherited listener share a folder; otherwise $TMPDIR is empty at the start."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     with Folder(str(tmp_path)).change() as held:
         held.enter("s0", 5)
@@ -105,7 +107,7 @@
     assert sorted(tmp_path.iterdir()) == before
 
 
-def test_bans_of_servers_that_are_not_here_keep_nobody_out(tmp_path: Path) -> None:
+def test_bans_of_unknown_servers_affect_no_listed_server(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         with Folder(str(tmp_path)).change() as held:
@@ -114,7 +116,7 @@
             held.exit("x2", 6)
         async with node(stub) as balancer:
             front = balancer.front
-            Together(front.loop, front.clock, Folder(str(tmp_path)), front.driver, front).restore()
+            ProcessGroup(front.loop, front.clock, Folder(str(tmp_path)), front.driver, front).restore()
             assert set(front.driver.balancer.banned) == {number_of("x1")}
             assert (await balancer.ask(request())).body == b"done"
 
--- a/tests/node/test_one_process.py
+++ b/tests/node/test_one_process.py
@@ -1,4 +1,4 @@
-"""What `run` is: one process of the interpreter that starts no other and holds no other front's libraries."""
+"""The daemon is one process: it starts no other and imports no libraries of optional features."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.node.stubs import configuration
 
 ROOT = Path(__file__).parents[2]
-# What else the daemon could bring: other fronts, the commands and what the extras install.
+# Not to be imported: other fronts, the commands, and what the extras install.
 OTHERS = {
     "click",
     "rich",
@@ -49,7 +49,7 @@
     "subprocess.Popen",
     "pty.spawn",
 }
-# Notes what would start a process, and ends the program once it serves; what is open and mapped by then.
+# Runs the daemon until it serves; reports process starts, open sockets, mapped libraries and loaded modules.
 WATCHED = """
 import asyncio, json, os, runpy, signal, socket, sys
 seen, held = [], []
@@ -69,12 +69,12 @@
     %s
 from dykeshift.node import __main__ as node
 from dykeshift.engine import drain
-settle = node.settle
+finish_startup = node.finish_startup
 def serving(*args):
-    settle(*args)
+    finish_startup(*args)
     hold()
     os.kill(os.getpid(), signal.SIGTERM)
-node.settle = serving
+node.finish_startup = serving
 drain.LINGER = 0.0
 code = node.main()
 maps = open("/proc/self/maps").read().split()
@@ -83,7 +83,7 @@
 """
 
 
-def served(tmp_path: Path, before: str = "") -> dict[str, object]:
+def run_daemon(tmp_path: Path, before: str = "") -> dict[str, object]:
     config = tmp_path / "config.json"
     config.write_text(json.dumps(configuration(("127.0.0.1", 9))))
     program = WATCHED % (FORBIDDEN, bool(before), before or "pass")
@@ -101,8 +101,8 @@
     return told
 
 
-def test_run_starts_no_process_and_imports_nothing_of_other_fronts(tmp_path: Path) -> None:
-    told = served(tmp_path)
+def test_the_daemon_starts_no_process_and_imports_no_optional_feature(tmp_path: Path) -> None:
+    told = run_daemon(tmp_path)
     assert told["code"] == 0
     assert told["seen"] == []
     modules = told["modules"]
@@ -110,62 +110,66 @@
     assert not [m for m in modules if m in OTHERS or any(m.startswith(o + ".") for o in OTHERS)]
 
 
-def test_the_watch_over_run_sees_a_process_that_is_started(tmp_path: Path) -> None:
-    """The check's own defect: a daemon that starts a program is caught."""
-    told = served(tmp_path, "import subprocess; subprocess.run(['true'])")
+def test_a_daemon_that_starts_a_process_is_detected(tmp_path: Path) -> None:
+    """Tests the check itself with a daemon that starts a program."""
+    told = run_daemon(tmp_path, "import subprocess; subprocess.run(['true'])")
     assert "subprocess.Popen" in str(told["seen"])
 
 
-SOCKETS = {"AF_INET SOCK_STREAM", "AF_INET SOCK_DGRAM", "AF_UNIX SOCK_STREAM"}  # the last: a loop's own pair
+SOCKETS = {
+    "AF_INET SOCK_STREAM",
+    "AF_INET SOCK_DGRAM",
+    "AF_UNIX SOCK_STREAM",
+}  # the last: the event loop's own socket pair
 
 
-def unwanted(told: dict[str, object]) -> list[str]:
+def unexpected_sockets(told: dict[str, object]) -> list[str]:
     held = told["held"]
     assert isinstance(held, list) and "AF_INET SOCK_STREAM" in held
     return [link for link in held if link.startswith("AF_") and link not in SOCKETS]
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="asks /proc")
-def test_run_is_linked_dynamically_and_holds_no_socket_but_tcp_and_udp_over_ipv4(tmp_path: Path) -> None:
-    told = served(tmp_path)
-    assert unwanted(told) == []
+def test_the_daemon_is_linked_dynamically_and_has_only_ipv4_tcp_and_udp_sockets(tmp_path: Path) -> None:
+    told = run_daemon(tmp_path)
+    assert unexpected_sockets(told) == []
     libraries = told["libraries"]
     assert isinstance(libraries, list) and any("libc" in Path(name).name for name in libraries)
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="asks /proc")
-def test_the_look_at_what_is_held_sees_another_socket(tmp_path: Path) -> None:
-    """The check's own defect: a daemon that listens on a Unix socket with a name is caught."""
+def test_a_daemon_with_a_unix_socket_is_detected(tmp_path: Path) -> None:
+    """Tests the check itself with a daemon that binds a named Unix socket."""
     before = "import socket; one = socket.socket(socket.AF_UNIX); one.bind('\\0lifttrail-test')"
-    assert unwanted(served(tmp_path, before)) == ["AF_UNIX SOCK_STREAM named"]
+    assert unexpected_sockets(run_daemon(tmp_path, before)) == ["AF_UNIX SOCK_STREAM named"]
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="limits descriptors")
-def test_without_descriptors_the_listener_lives_and_serves_again(tmp_path: Path) -> None:
-    """A loop that lets its listener go, or its reserve, would be deaf for good after one crowd of clients."""
+def test_the_listener_survives_running_out_of_file_descriptors(tmp_path: Path) -> None:
+    """If the daemon lost its listener or its reserve of descriptors, it would never accept a client again."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
     given = {**configuration(("127.0.0.1", 9)), "listen": "%s:%d" % address}
     daemon = with_few_descriptors(tmp_path, given)
     try:
-        assert answered(address)
+        assert first_bytes(address)
         crowd = [socket.create_connection(address, timeout=30) for _ in range(2 * FEW)]
         for one in crowd[FEW:]:
             with suppress(ConnectionError):
-                assert one.recv(1) == b"", "beyond the descriptors a client is let go, not left waiting"
+                assert one.recv(1) == b"", "a client beyond the limit is disconnected, not left waiting"
         for one in crowd:
             one.close()
-        assert answered(address)
+        assert first_bytes(address)
     finally:
         daemon.terminate()
         assert daemon.wait(60) == 0
 
 
-FEW = 40  # descriptors
+FEW = 40  # file descriptors
 
 
 def with_few_descriptors(tmp_path: Path, given: dict[str, object]) -> subprocess.Popen[bytes]:
-    """A daemon of this configuration that may hold FEW of them."""
+    """A daemon with this configuration and a limit of FEW file descriptors."""
     (tmp_path / "config.json").write_text(json.dumps(given))
     limited = f"import resource; resource.setrlimit(resource.RLIMIT_NOFILE, ({FEW}, {FEW}))"
     program = f"{limited}\nimport sys\nfrom dykeshift.node.__main__ import main\nsys.exit(main())"
@@ -176,8 +180,8 @@
     )
 
 
-def answered(address: tuple[str, int]) -> bytes:
-    """The first bytes of an answer, from a daemon that may just be starting or full."""
+def first_bytes(address: tuple[str, int]) -> bytes:
+    """The first bytes of an answer; retries while the daemon is starting or full."""
     while True:
         try:
             with socket.create_connection(address, timeout=30) as one:
@@ -188,7 +192,7 @@
             continue
 
 
-def test_run_ends_by_exec_in_the_interpreter() -> None:
+def test_the_run_command_executes_the_interpreter_in_place_of_the_shell() -> None:
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     words = deploy["run"].split()
     assert words == ["trap", "''", "HUP;", "exec", ".venv/bin/python", "-m", "dykeshift.node"]
@@ -198,8 +202,8 @@
 
 
 @pytest.mark.parametrize("left", ["nothing", "a folder", "an older one", "another's"])
-def test_build_makes_anew_what_is_not_whole(tmp_path: Path, left: str) -> None:
-    """With a stand-in for the interpreter: what `build` asks of it, not what the registry answers."""
+def test_build_recreates_an_incomplete_or_outdated_environment(tmp_path: Path, left: str) -> None:
+    """With a stub for the interpreter: tests the commands that `build` runs, without a package registry."""
     calls = tmp_path / "calls"
     stand_in = tmp_path / "bin" / "python3"
     stand_in.parent.mkdir()
@@ -231,4 +235,4 @@
             (root / "requirements.txt").write_text("one==1\n")
             (root / ".venv/made-from.txt").write_text("elsewhere\n")
     assert "install -r requirements.txt" in build()
-    assert "install" not in build(), "what is whole is left alone"
+    assert "install" not in build(), "a complete environment is not rebuilt"
