--- a/dykeshift/node/agree.py
+++ b/dykeshift/node/agree.py
@@ -1,4 +1,4 @@
-"""`[agree]`: the history that this balancer shares with the others (docs/operators/agree.md)."""
+"""The feature `[agree]`: the log that the balancers replicate by consensus (docs/operators/agree.md)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from dykeshift.agree.core import Agree, No
 from dykeshift.agree.keep import KIND, Spoilt, known, pack, replay, whole
-from dykeshift.agree.keep import Kept as Life
+from dykeshift.agree.keep import Kept as SavedState
 from dykeshift.agree.log import Sort
 from dykeshift.agree.proposals import COMMITTED, REFUSED, Answer
 from dykeshift.agree.shell import Kept, Runner
@@ -21,7 +21,7 @@
 from dykeshift.agree.wire import is_ours
 from dykeshift.engine.config import ConfigError
 from dykeshift.interface import Settings
-from dykeshift.node.quiet import Still, carrier, connections, objection
+from dykeshift.node.quiet import PassiveService, carrier, connections, objection
 from dykeshift.store.log import Log, LogError, Recovered
 from dykeshift.store.records import LogFormatError
 from dykeshift.view.wire import NOBODY, State
@@ -35,11 +35,11 @@
 log = logging.getLogger(__name__)
 
 PEERING = True
-FILE = "agree.log"
-FULL = 1 << 20  # bytes of the file: beyond them it is written anew with what still counts
-WAIT = 2.5  # seconds that an answer of the console waits for the others: operators' calls give up after three
-LATEST = 20  # changes that `GET /agree/log` shows
-LOUD = {
+LOG_FILE = "agree.log"
+COMPACT_ABOVE_BYTES = 1 << 20  # a larger file is rewritten with only the records that are still needed
+CALL_TIMEOUT_S = 2.5  # of console calls: the operators' clients time out after 3 s
+MAX_CHANGES_SHOWN = 20  # by `GET /agree/log`
+LOG_LEVELS = {
     "stranger": logging.ERROR,
     "lost": logging.ERROR,
     "forgotten": logging.WARNING,
@@ -50,7 +50,7 @@
 
 
 class Options(Struct, frozen=True, forbid_unknown_fields=True):
-    """Of the section `[agree]`; each has its default."""
+    """The options of the section `[agree]`."""
 
     voters: Literal[1, 3, 5, 7] = 5
     beat_s: Annotated[float, Meta(ge=0.02, le=5)] = 0.2
@@ -64,60 +64,60 @@
 
 def check(options: Options, settings: Settings | None) -> None:
     if options.lease_s < 20 * options.beat_s:
-        raise ValueError("lease_s is under 20 beats: nobody could renew it in time")
+        raise ValueError("lease_s is under 20 beats: no lease could be renewed in time")
     if options.replace_s < 20 * options.beat_s:
-        raise ValueError("replace_s is under 20 beats: a short silence would cost a voter its seat")
+        raise ValueError("replace_s is under 20 beats: a voter would be replaced after a short silence")
     if options.datagrams_s * options.beat_s < 4 * options.voters:
-        raise ValueError("datagrams_s is too little for a leader of so many voters")
+        raise ValueError("datagrams_s is too low for a leader with this number of voters")
 
 
-class Keeper:
-    """The records on a disk, written beside the loop."""
+class DiskWriter:
+    """Writes the records to disk in a worker thread, outside the event loop."""
 
     def __init__(self, host: Host, log: Log, lives: Callable[[], list[bytes]]) -> None:
-        self.worker, self.log, self.lives = host.disk.worker(host.loop), log, lives
+        self.worker, self.log, self.snapshot = host.disk.worker(host.loop), log, lives
 
-    def keep(self, records: list[Record], done: Kept) -> None:
+    def write(self, records: list[Record], done: Kept) -> None:
         payloads = [pack(record) for record in records]
-        anew = self.lives() if self.log.size > FULL else None
+        compacted = self.snapshot() if self.log.size > COMPACT_ABOVE_BYTES else None
 
         def work() -> None:
-            if anew is not None:
-                self.log.compact(anew)
+            if compacted is not None:
+                self.log.compact(compacted)
                 return
             for payload in payloads:
                 self.log.append(payload)
             self.log.commit()
 
-        def over(_: Any, error: BaseException | None) -> None:
+        def on_done(_: Any, error: BaseException | None) -> None:
             if error is not None:
                 log.error(
-                    "the agreement goes on without its disk: %s",
+                    "agreement log cannot be written, continuing without persistence: %s",
                     error,
                     extra={"event": "agree.diskless", "fields": {"reason": str(error)}},
                 )
             done(error is None)
 
-        self.worker.run(work, over)
+        self.worker.run(work, on_done)
 
     def close(self) -> None:
         self.worker.close()
         self.log.close()
 
 
-class Service(Still):
-    """The agreement in this process."""
+class Service(PassiveService):
+    """This process's member of the consensus group, with its console calls."""
 
     def __init__(self, host: Host, view: View, core: Agree) -> None:
         self.host, self.view, self.core = host, view, core
-        self.listeners: list[Callable[[Event], None]] = []  # who builds on the history
-        self.runner = Runner(host.loop, host.clock, core, view.port.send, self._tell)
-        self.keeper: Keeper | None = None
+        self.listeners: list[Callable[[Event], None]] = []  # features that act on the log's events
+        self.runner = Runner(host.loop, host.clock, core, view.port.send, self._on_event)
+        self.disk_writer: DiskWriter | None = None
 
     def begin(self) -> None:
         host = self.host
         self.view.port.claims.append((is_ours, self.runner.take))
-        self.view.watchers.append(self._roster)
+        self.view.watchers.append(self._update_members)
         host.offers.calls.update({b"/agree": self.status, b"/agree/log": self.changes})
         host.offers.orders.update(
             {
@@ -126,32 +126,32 @@
                 (b"PUT", b"/agree/rescue"): self.rescue,
             }
         )
-        host.figures["agree"] = self.figures
-        host.found["agree"] = self
-        self._roster()
+        host.metrics["agree"] = self.figures
+        host.services["agree"] = self
+        self._update_members()
         self.runner.start()
 
-    def _roster(self) -> None:
+    def _update_members(self) -> None:
         view = self.view.view
-        alive, places = {view.me.number}, {}
+        alive, addresses = {view.me.number}, {}
         for member in view.table:
             number = member.entry.number
             if number != NOBODY and member.address is not None:
-                places[number] = member.address
+                addresses[number] = member.address
                 if member.state in (State.ALIVE, State.SUSPECT):
                     alive.add(number)
-        self.core.on_roster(alive, places)
+        self.core.on_roster(alive, addresses)
 
-    # ---- what operators ask ----
+    # ---- console calls ----
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         return {"self": self.host.given.name, **self.core.summary(self.host.clock.monotonic_ns())}
 
     def status(self) -> bytes:
-        return _json(self.told())
+        return _json(self.summary())
 
     def changes(self) -> bytes:
-        """The latest changes that this balancer still has one by one."""
+        """The latest changes that have not been folded into the snapshot, newest first."""
         shared = self.core.shared
         found = []
         for index in range(shared.commit, shared.log.base.index, -1):
@@ -166,7 +166,7 @@
                         "entry": _text(entry.body[:200]),
                     }
                 )
-            if len(found) == LATEST:
+            if len(found) == MAX_CHANGES_SHOWN:
                 break
         return _json({"committed": shared.log.version_at(shared.commit), "changes": found})
 
@@ -179,11 +179,11 @@
 
         def answered(answer: Answer) -> None:
             status = {COMMITTED: 200, REFUSED: 409}.get(answer.status, 503)
-            told = {"version": answer.version, "id": f"{number:016x}"}
-            done(status, _json(told if status == 200 else {**told, "reason": answer.text}))
+            reply = {"version": answer.version, "id": f"{number:016x}"}
+            done(status, _json(reply if status == 200 else {**reply, "reason": answer.text}))
 
         number = ident or self.core.shared.rng.getrandbits(64) or 1
-        self.runner.propose(entry, expect, int(WAIT * 1e9), number, answered)
+        self.runner.propose(entry, expect, int(CALL_TIMEOUT_S * 1e9), number, answered)
 
     def read(self, body: bytes, done: Callable[[int, bytes], None]) -> None:
         def answered(version: int | None) -> None:
@@ -192,14 +192,14 @@
             else:
                 done(200, _json({"version": version, "entry": _text(self.core.shared.machine.snapshot())}))
 
-        self.runner.read(int(WAIT * 1e9), answered)
+        self.runner.read(int(CALL_TIMEOUT_S * 1e9), answered)
 
     def rescue(self, body: bytes, done: Callable[[int, bytes], None]) -> None:
         try:
             given = json.loads(body or b"{}")
             voters, force = given.get("voters"), given.get("force", False)
             if not isinstance(force, bool) or voters is not None and voters not in (1, 3, 5, 7):
-                raise ValueError("voters are 1, 3, 5 or 7, force is true or false")
+                raise ValueError("voters must be 1, 3, 5 or 7, and force true or false")
         except (ValueError, AttributeError, RecursionError) as exc:
             done(400, _json({"reason": str(exc)}))
             return
@@ -211,15 +211,15 @@
             done(200, self.status())
 
     def figures(self) -> dict[str, Any]:
-        told = self.told()
+        summary = self.summary()
         names = ("role", "epoch", "term", "leader", "committed", "lease_s")
         return {
-            **{name: told[name] for name in names},
-            **told["sent"],
-            "dropped": sum(told["dropped"].values()),
+            **{name: summary[name] for name in names},
+            **summary["sent"],
+            "dropped": sum(summary["dropped"].values()),
         }
 
-    def _tell(self, event: Event) -> None:
+    def _on_event(self, event: Event) -> None:
         for listener in self.listeners:
             listener(event)
         shared = self.core.shared
@@ -227,17 +227,17 @@
         if event.version:
             fields["version"] = event.version
         log.log(
-            LOUD.get(event.kind, logging.INFO),
+            LOG_LEVELS.get(event.kind, logging.INFO),
             "agree: %s %s",
             event.kind,
             event.text or event.version or "",
             extra={"event": "agree." + event.kind, "fields": {**fields, "text": event.text}},
         )
 
-    # ---- ends ----
+    # ---- shutdown ----
 
     def drain(self) -> None:
-        """Its seat, and the lead, go to others while it lets go of its clients."""
+        """Hand the voter's seat, and the leadership, to others while clients are drained."""
         self.runner.carry(self.core.retire(self.host.clock.monotonic_ns()))
 
     def busy(self) -> bool:
@@ -245,12 +245,12 @@
 
     def close(self) -> None:
         self.runner.close()
-        if self.keeper is not None:
-            self.keeper.close()
+        if self.disk_writer is not None:
+            self.disk_writer.close()
 
 
-def _json(told: dict[str, Any]) -> bytes:
-    return json.dumps(told, separators=(",", ":")).encode()
+def _json(value: dict[str, Any]) -> bytes:
+    return json.dumps(value, separators=(",", ":")).encode()
 
 
 def _text(body: bytes) -> str:
@@ -258,16 +258,19 @@
 
 
 def _proposal(body: bytes) -> tuple[bytes, int, int | None]:
-    """Entry, expected version, and the id of a proposal that is made again; ValueError in a line."""
+    """Entry, expected version, and the id if the proposal is repeated.
+
+    Raises ValueError with one line of text.
+    """
     try:
         given = json.loads(body)
     except (ValueError, RecursionError):
-        raise ValueError("the body is no JSON") from None
+        raise ValueError("the body is not JSON") from None
     entry = given.get("entry") if isinstance(given, dict) else None
     expect = given.get("expect") if isinstance(given, dict) else None
-    counted = isinstance(expect, int) and not isinstance(expect, bool) and 0 <= expect < 1 << 31
-    if not isinstance(entry, str) or not isinstance(expect, int) or not counted:
-        raise ValueError('the body is no object with "entry", a text, and "expect", a version')
+    is_version = isinstance(expect, int) and not isinstance(expect, bool) and 0 <= expect < 1 << 31
+    if not isinstance(entry, str) or not isinstance(expect, int) or not is_version:
+        raise ValueError('the body must be an object with "entry", a text, and "expect", a version')
     ident = given.get("id")
     if ident is None:
         return entry.encode(), expect, None
@@ -276,16 +279,16 @@
     except ValueError:
         number = 0
     if not 0 < number < 1 << 64:
-        raise ValueError('"id" is no id that was answered before')
+        raise ValueError('"id" must be an id from an earlier answer')
     return entry.encode(), expect, number
 
 
 async def start(options: Options, host: Host) -> Service:
-    """ConfigError where the view is off, or the folder can't be used."""
-    view: View | None = host.found.get("view")
+    """Raises ConfigError if `[view]` is off or the folder cannot be used."""
+    view: View | None = host.services.get("view")
     peering = host.given.peering
     if view is None or peering is None:
-        raise ConfigError("[agree] wants [view]")
+        raise ConfigError("[agree] requires [view]")
     terms = Terms(
         options.voters,
         int(options.beat_s * 1e9),
@@ -297,52 +300,55 @@
         options.bytes_s,
     )
     number = None if view.view.me.number == NOBODY else view.view.me.number
-    places = dict(enumerate(peering.peers)) if number is not None else {}
+    addresses = dict(enumerate(peering.peers)) if number is not None else {}
     rng = Random(f"agree/{host.given.seed}/{host.clock.time_ns()}")
-    file, kept = _open(options.folder, host) if options.folder else (None, None)
-    machine = host.found.get("machine") or Latest()
-    core = Agree(terms, view.view.seal, number, places, rng, machine, file is not None)
-    if kept is not None and known(kept):
-        core.restore(kept)
+    file, saved = _open_log(options.folder, host) if options.folder else (None, None)
+    machine = host.services.get("machine") or Latest()
+    core = Agree(terms, view.view.seal, number, addresses, rng, machine, file is not None)
+    if saved is not None and known(saved):
+        core.restore(saved)
     service = Service(host, view, core)
     if file is not None:
-        service.keeper = Keeper(host, file, lambda: whole(core.life()))
-        service.runner.keep = service.keeper.keep
+        service.disk_writer = DiskWriter(host, file, lambda: whole(core.life()))
+        service.runner.keep = service.disk_writer.write
     service.begin()
     return service
 
 
-def _open(folder: str, host: Host) -> tuple[Log | None, Life | None]:
-    """The file, and the life that it holds. Locked by another process of this balancer: without a disk."""
+def _open_log(folder: str, host: Host) -> tuple[Log | None, SavedState | None]:
+    """The log file and the state saved in it.
+
+    Neither if another process of this balancer has locked the folder.
+    """
     try:
         files = host.disk.open(folder)
     except BlockingIOError:
         log.warning(
-            "another process has the folder %s: this one's agreement is in memory",
+            "folder %s is locked by another process: this process keeps its agreement log in memory only",
             folder,
             extra={"event": "agree.locked", "fields": {"folder": folder}},
         )
         return None, None
     except OSError as exc:
         raise ConfigError(f"[agree] cannot use the folder {folder!r}: {exc.strerror or exc}") from None
-    file = Log(files, FILE, KIND)
+    file = Log(files, LOG_FILE, KIND)
     try:
         found = file.open()
         try:
-            return file, _life(found)
+            return file, _replayed(found)
         except Spoilt as exc:
             log.error(
-                "what was promised is no longer known, this balancer begins anew: %s",
+                "agreement log is corrupt, this balancer rejoins as a new member without its votes: %s",
                 exc,
                 extra={"event": "agree.spoilt", "fields": {"reason": str(exc)}},
             )
             file.compact([])
             return file, None
     except (LogError, LogFormatError) as exc:
-        raise ConfigError(f"[agree] cannot use {folder}/{FILE}: {exc}") from None
+        raise ConfigError(f"[agree] cannot use {folder}/{LOG_FILE}: {exc}") from None
 
 
-def _life(found: Recovered) -> Life | None:
+def _replayed(found: Recovered) -> SavedState | None:
     if found.holes:
-        raise Spoilt(f"{len(found.holes)} stretches of it are lost")
+        raise Spoilt(f"{len(found.holes)} ranges of the file are lost")
     return replay(found.payloads)
--- a/dykeshift/node/assembly.py
+++ b/dykeshift/node/assembly.py
@@ -1,5 +1,4 @@
-"""The parts of a balancer between its front and its features, put together: for the daemon, and for whoever
-runs its features without a front."""
+"""Builds the parts of a balancer between its front and its features, also for use without a front."""
 
 from __future__ import annotations
 
@@ -20,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assembly:
-    """What a front submits requests to and what features are told by; nothing of it has started."""
+    """The parts that a front and the features work with; none of them has started."""
 
     driver: Driver
     discovery: Discovery
@@ -35,7 +34,7 @@
     load: Callable[[], config.Config],
     beside: Features = NONE,
 ) -> Assembly:
-    """The parts for one configuration; `load` reads it anew, `beside` may bring the upstreams' protocol."""
+    """Build the parts. `load` reads the configuration again; `beside`, the features, may set the protocol."""
     carrier = beside.carrier(loop, clock) or HttpCarrier(loop, clock)
     pool = Pool(loop, clock, carrier, given.connections, given.connect_timeout, given.keepalive)
     driver = Driver(loop, clock, Balancer(given.settings, given.seed), pool, lambda: discovery.watch())
--- a/dykeshift/node/book.py
+++ b/dykeshift/node/book.py
@@ -1,5 +1,4 @@
-"""What operators ask of the versions over the console, and change: `/settings...`, and bans of the whole
-fleet."""
+"""Console calls of `[versions]`: `/settings...`, and `/maintenance...` for bans in the whole fleet."""
 
 from __future__ import annotations
 
@@ -26,18 +25,20 @@
     from dykeshift.node.versions import Service
 
 Done = Callable[[int, bytes], None]
-WAIT = 2.5  # seconds for a change or a read to be answered, as the agreement's calls have it
-SOON = 800_000_000  # nanoseconds that a ban's answer waits for all: operators are owed one in a second
-LOOK = 0.02  # seconds between two looks at whether it has come
+CALL_TIMEOUT_S = 2.5  # for a change to be committed or a read to be answered, as for the calls of `[agree]`
+BAN_ANSWER_NS = 800_000_000  # a ban is answered by then, committed or not: operators get it within 1 s
+BAN_POLL_S = 0.02  # between two checks whether the ban is committed
 
 
 class Calls:
+    """The calls of one process; they read and change what the fleet has agreed on."""
+
     def __init__(self, service: Service) -> None:
         self.service = service
 
     def register(self, offers: Offers) -> None:
         offers.calls.update(
-            {b"/settings": self.status, b"/settings/rules": self.texts, b"/settings/history": self.history}
+            {b"/settings": self.status, b"/settings/rules": self.rules, b"/settings/history": self.history}
         )
         puts: dict[bytes, Callable[[Any], Change]] = {
             b"/settings/propose": self._proposal,
@@ -46,16 +47,16 @@
             b"/settings/lists": self._lists,
         }
         for path, make in puts.items():
-            offers.orders[b"PUT", path] = self._order(make)
+            offers.orders[b"PUT", path] = self._change_call(make)
         offers.orders[b"PUT", b"/settings/alone"] = self.alone
         offers.orders[b"GET", b"/settings/members"] = self.members
         offers.orders[b"PUT", b"/maintenance/enter"] = self.enter
         offers.orders[b"PUT", b"/maintenance/exit"] = self.exit
 
-    # ---- looking ----
+    # ---- reading ----
 
-    def rules(self) -> dict[str, Any]:
-        """What it acts on, since when and why: a part of `GET /fleet` too."""
+    def in_force(self) -> dict[str, Any]:
+        """The version in force, since when and why; part of `GET /fleet` too."""
         service = self.service
         service.look()
         force, acts = service.core.force, service.core.acts
@@ -71,18 +72,18 @@
         service, pages = self.service, self.service.core.book.pages
         options = service.core.options
         shared = service.agree.core.shared
-        from dykeshift.node.versions import times
+        from dykeshift.node.versions import timing_bounds
 
-        told = {
+        reply = {
             "self": service.host.given.name,
             "number": service.core.number,
-            **self.rules(),
+            **self.in_force(),
             "history": f"{shared.epoch[0]:08x}",
             "epoch": shared.epoch[1],
             "digest": hashlib.blake2s(service.core.book.snapshot(), digest_size=8).hexdigest(),
             "stamp": service.core.force.stamp,
             "by": pages.rules.by,
-            **times(service.options, options.lease / 1e9, options.drift),
+            **timing_bounds(service.options, options.lease / 1e9, options.drift),
             "leader": service.core.history.leader(),
             "pending": self._pending(pages.pending),
             "out": msgspec.to_builtins(pages.out),
@@ -94,11 +95,11 @@
             "leaving": len(service.leaving),
             "ignored": service.core.lists.ignored,
             "outcomes": msgspec.to_builtins(pages.outcomes),
-            "file": service.differs,
+            "file": service.file_difference,
             "strange": service.core.book.strange,
             "dropped": service.core.dropped,
         }
-        return _json(told)
+        return _json(reply)
 
     def _pending(self, pending: Pending | None) -> dict[str, Any] | None:
         if pending is None:
@@ -120,13 +121,13 @@
             "reason": pending.reason,
         }
 
-    def texts(self) -> bytes:
+    def rules(self) -> bytes:
         pages = self.service.core.book.pages
-        comes = pages.pending.rules if pages.pending is not None else None
+        pending = pages.pending.rules if pages.pending is not None else None
         return _json(
             {
-                "in_force": _rules(pages.rules),
-                "comes": _rules(comes) if comes else None,
+                "in_force": _rules_json(pages.rules),
+                "comes": _rules_json(pending) if pending else None,
                 "file": json.loads(self.service.core.own.shared),
             }
         )
@@ -135,13 +136,13 @@
         pages = self.service.core.book.pages
         return _json(
             {
-                "rules": [_rules(r) for r in (pages.rules, *pages.past)],
+                "rules": [_rules_json(r) for r in (pages.rules, *pages.past)],
                 "outcomes": msgspec.to_builtins(pages.outcomes),
             }
         )
 
     def members(self, body: bytes, done: Done) -> None:
-        """What each has reported to whoever leads."""
+        """What each balancer has reported to the leader; 409 at a balancer that is not the leader."""
         core, now = self.service.core, self.service.now()
         leader = core.history.leader()
         if leader != core.number:
@@ -182,23 +183,23 @@
         )
 
     def figures(self) -> dict[str, Any]:
-        told = self.rules()
+        status = self.in_force()
         return {
-            "mode": told["mode"],
-            "version": told["version"],
-            "book": told["book"],
-            "since_s": told["since_s"],
+            "mode": status["mode"],
+            "version": status["version"],
+            "book": status["book"],
+            "since_s": status["since_s"],
             "leaving": len(self.service.leaving),
         }
 
     # ---- changing ----
 
-    def _order(self, make: Callable[[Any], Change]) -> Callable[[bytes, Done], None]:
-        def order(body: bytes, done: Done) -> None:
+    def _change_call(self, make: Callable[[Any], Change]) -> Callable[[bytes, Done], None]:
+        def call(body: bytes, done: Done) -> None:
             try:
                 given = json.loads(body or b"{}")
                 if not isinstance(given, dict):
-                    raise ValueError("the body is no object")
+                    raise ValueError("the body must be an object")
                 change = make(given)
             except (ValueError, RecursionError, msgspec.ValidationError, SettingsError) as exc:
                 done(400, _json({"reason": str(exc)}))
@@ -207,7 +208,7 @@
             else:
                 self._commit(change, done)
 
-        return order
+        return call
 
     def _commit(self, change: Change, done: Done) -> None:
         service, book = self.service, self.service.core.book
@@ -217,28 +218,30 @@
             return
 
         def answered(answer: Answer) -> None:
-            told = {"version": answer.version, "id": f"{number:016x}"}
+            reply = {"version": answer.version, "id": f"{number:016x}"}
             if answer.status == COMMITTED:
-                done(200, _json(told))
+                done(200, _json(reply))
             else:
-                done(409 if answer.status == REFUSED else 503, _json({**told, "reason": answer.text}))
+                done(409 if answer.status == REFUSED else 503, _json({**reply, "reason": answer.text}))
 
         number: int = service.core.rng.getrandbits(64) or 1
-        service.agree.runner.propose(pack(change), book.pages.version, int(WAIT * 1e9), number, answered)
+        service.agree.runner.propose(
+            pack(change), book.pages.version, int(CALL_TIMEOUT_S * 1e9), number, answered
+        )
 
     def _proposal(self, given: dict[str, Any]) -> Change:
         raw = given.get("settings")
         if not isinstance(raw, dict):
-            raise ValueError('the body is no object with "settings", an object')
+            raise ValueError('the body must be an object with "settings", an object')
         text = share(raw)
-        self.service.core.own.read(text)  # what nobody can act on is not even proposed
+        self.service.core.own.read(text)  # settings that are not valid are not proposed
         stages = given.get("stages", [])
-        roster = len(self.service.agree.core.shared.places)
+        fleet_size = len(self.service.agree.core.shared.places)
         if not isinstance(stages, list) or any(
-            not isinstance(g, list) or not g or any(type(n) is not int or not 0 <= n < roster for n in g)
+            not isinstance(g, list) or not g or any(type(n) is not int or not 0 <= n < fleet_size for n in g)
             for g in stages
         ):
-            raise ValueError(f"stages are groups of numbers of balancers, 0 to {roster - 1}")
+            raise ValueError(f"stages must be groups of balancer numbers, 0 to {fleet_size - 1}")
         return Propose(
             msgspec.Raw(text.encode()),
             str(given.get("by", ""))[:200],
@@ -256,7 +259,7 @@
     def _halt(self, given: dict[str, Any]) -> Change:
         pending = self.service.core.book.pages.pending
         if pending is None:
-            raise No("nothing is under way")
+            raise No("no change is pending")
         return Halt(pending.rules.version, str(given.get("reason") or "by hand")[:200])
 
     def _lists(self, given: dict[str, Any]) -> Change:
@@ -268,7 +271,7 @@
         return change
 
     def alone(self, body: bytes, done: Done) -> None:
-        """The operator's word: the others are gone for good; this balancer goes on with what it has."""
+        """Make this balancer the only voter: the operator states that the others are gone for good."""
         service = self.service
         try:
             service.agree.runner.carry(service.agree.core.rescue(service.now(), 1))
@@ -277,11 +280,11 @@
         else:
             done(200, self.status())
 
-    # ---- servers out by hand ----
+    # ---- bans by operators ----
 
     def enter(self, body: bytes, done: Done) -> None:
-        """Obeyed here at once, by all others once it is committed: this balancer goes on proposing it."""
-        service, desk, name = self.service, self.service.host.offers.desks[0], _named(body, done)
+        """Ban a server: here at once, at all others once it is committed; it is proposed again until then."""
+        service, desk, name = self.service, self.service.host.offers.desks[0], _upstream_name(body, done)
         if not name:
             return
         out = {number_of(n) for n in service.core.book.pages.out}
@@ -297,26 +300,29 @@
                 if not known:
                     service.core.ban(name)
                     service.tick()
-                self._await_ban(name, service.now() + SOON, done)
+                self._await_ban(name, service.now() + BAN_ANSWER_NS, done)
         except OSError as exc:
             done(500, _json({"reason": f"it could not be written down, nothing has changed: {exc.strerror}"}))
 
     def _await_ban(self, name: str, until: int, done: Done) -> None:
-        """The answer comes once all have it, or when operators are owed one."""
+        """Answer once the ban is committed, or when the time for an answer is over."""
         known = name in self.service.core.book.pages.out
         if known or self.service.now() >= until:
             done(200, _json({"here": True, "fleet": known}))
         else:
-            self.service.host.loop.call_later(LOOK, self._await_ban, name, until, done)
+            self.service.host.loop.call_later(BAN_POLL_S, self._await_ban, name, until, done)
 
     def exit(self, body: bytes, done: Done) -> None:
-        """Of the fleet's ban: once all agree. Of one that never left this balancer: at once. Another balancer
-        may have put it out a moment ago: so a majority is asked before it is said to be back."""
-        service, desk, name = self.service, self.service.host.offers.desks[0], _named(body, done)
+        """Lift a ban: a ban of the fleet once that is committed, one that is known here only at once.
+
+        Another balancer may have banned the server a moment ago: unless the ban is known here, a majority is
+        asked before the answer.
+        """
+        service, desk, name = self.service, self.service.host.offers.desks[0], _upstream_name(body, done)
         if not name:
             return
 
-        def known(version: int | None) -> None:
+        def on_read(version: int | None) -> None:
             here = name in service.core.wanted or number_of(name) in service.host.driver.pool.banned
             if name in service.core.book.pages.out:
                 service.core.unban(name)
@@ -336,13 +342,16 @@
                 )
 
         if name in service.core.book.pages.out:
-            known(None)
+            on_read(None)
         else:
-            service.agree.runner.read(int(WAIT * 1e9), known)
+            service.agree.runner.read(int(CALL_TIMEOUT_S * 1e9), on_read)
+
 
+def _upstream_name(body: bytes, done: Done) -> str:
+    """The server that a call names.
 
-def _named(body: bytes, done: Done) -> str:
-    """The server that a call names; empty, and answered, where it names none."""
+    Without one the call is answered with an error and the result is empty.
+    """
     try:
         return name_of(body)
     except CallError as exc:
@@ -350,7 +359,7 @@
         return ""
 
 
-def _rules(rules: Rules) -> dict[str, Any]:
+def _rules_json(rules: Rules) -> dict[str, Any]:
     return {
         "version": rules.version,
         "by": rules.by,
@@ -358,5 +367,5 @@
     }
 
 
-def _json(told: Any) -> bytes:
-    return json.dumps(told, separators=(",", ":")).encode()
+def _json(value: Any) -> bytes:
+    return json.dumps(value, separators=(",", ":")).encode()
--- a/dykeshift/node/desk.py
+++ b/dykeshift/node/desk.py
@@ -1,4 +1,4 @@
-"""Who carries out what operators call for: the console's desk in this process."""
+"""Carries out the operators' console calls in this process."""
 
 from __future__ import annotations
 
@@ -14,28 +14,30 @@
 from dykeshift.node.features import Offers
 
 if TYPE_CHECKING:
-    from dykeshift.node.together import Together
+    from dykeshift.node.together import ProcessGroup
 
 log = logging.getLogger(__name__)
 
 
 class Desk:
+    """Implements the console's calls with the driver, the drain and the features."""
+
     def __init__(
         self,
         clock: Clock,
         driver: Driver,
         drain: Drain,
         standby: Callable[[], None],
-        together: Together | None,
+        together: ProcessGroup | None,
         offers: Offers,
     ) -> None:
-        """`standby` begins the drain. `together`: who is told of bans beside this process, and first.
+        """`standby` begins the drain; `offers` are the calls that features answer.
 
-        `offers`: what features answer.
+        `together` shares bans with another process of this balancer; they are written there first.
         """
         self.offers = offers
         offers.desks.append(self)
-        self.clock, self.driver, self.drain, self.begin = clock, driver, drain, standby
+        self.clock, self.driver, self.drain, self.begin_standby = clock, driver, drain, standby
         self.together = together
 
     def figures(self) -> dict[str, Any]:
@@ -64,30 +66,30 @@
     def enter(self, name: str) -> bool:
         if self._known(name) and self.together is not None:
             self.together.enter(name)
-        return self._said(self.driver.ban(number_of(name)), "banned", name)
+        return self._log_done(self.driver.ban(number_of(name)), "banned", name)
 
     def exit(self, name: str) -> bool:
         if self._known(name) and self.together is not None:
             self.together.exit(name)
-        return self._said(self.driver.end_ban(number_of(name)), "back", name)
+        return self._log_done(self.driver.end_ban(number_of(name)), "back", name)
 
     def _known(self, name: str) -> bool:
         return self.driver.was_listed(number_of(name))
 
-    def _said(self, done: bool, what: str, name: str) -> bool:
+    def _log_done(self, done: bool, action: str, name: str) -> bool:
         if done:
             log.info(
-                "upstream %s: %s by hand",
+                "upstream %s: %s by an operator",
                 name,
-                what,
-                extra={"event": "upstream." + what, "fields": {"upstream": name}},
+                action,
+                extra={"event": "upstream." + action, "fields": {"upstream": name}},
             )
         return done
 
     def standby(self) -> None:
-        log.info("standby by hand", extra={"event": "drain.standby"})
-        self.begin()
+        log.info("standby requested by an operator", extra={"event": "drain.standby"})
+        self.begin_standby()
 
     def active(self) -> bool:
-        log.info("active by hand", extra={"event": "drain.active"})
+        log.info("end of standby requested by an operator", extra={"event": "drain.active"})
         return self.drain.active()
--- a/dykeshift/node/features.py
+++ b/dykeshift/node/features.py
@@ -1,4 +1,4 @@
-"""Which features this balancer runs beside its HTTP front, each from its section of the feature file."""
+"""The optional features of a balancer beside its HTTP front; each has a section of the feature file."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     from dykeshift.store.disk import Disk
 
 FILE = "deploy/lifttrail.toml"
-# Each has Options, check, carrier, objection, connections, start; and prepare, if those before it are to
-# know.
+# Each module has Options, check, carrier, objection, connections and start; and prepare, which runs before
+# any feature starts, if it has to register something for a feature that starts earlier.
 SECTIONS = {
     "logs": "dykeshift.node.logs",
     "mllp": "dykeshift.node.mllp",
@@ -34,30 +34,30 @@
 
 
 class Service(Protocol):
-    """A feature at work."""
+    """A running feature."""
 
     def drain(self) -> None:
-        """Take nothing new."""
+        """Accept no new work."""
 
     def busy(self) -> bool:
-        """Whether anything that was taken is not answered."""
+        """Whether any accepted work is still unanswered."""
 
     def close(self) -> None: ...
 
 
 @dataclass(frozen=True, slots=True)
 class Offers:
-    """What operators can ask a feature, by path: JSON texts at once, or by a call that takes its time."""
+    """The console calls that features answer, by path: `calls` at once with JSON, `orders` asynchronously."""
 
     calls: dict[bytes, Callable[[], bytes]] = field(default_factory=dict)
     # method and path: console.calls.Order
     orders: dict[tuple[bytes, bytes], Any] = field(default_factory=dict)
-    desks: list[Any] = field(default_factory=list)  # who carries operators' calls out, once there is one
+    desks: list[Any] = field(default_factory=list)  # the console's desk, once there is one
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """What a feature may use."""
+    """What a feature gets from the daemon that runs it."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
@@ -65,21 +65,23 @@
     driver: Driver
     disk: Disk
     listen: Listen = listen  # opens listeners
-    inherited: bool = False  # another process of this balancer may be at work beside this one
-    reload: Reload | None = None  # takes new settings and moves to another discovery
+    inherited: bool = False  # another process of this balancer may be running too
+    reload: Reload | None = None  # applies new settings and moves to another discovery
     offers: Offers = field(default_factory=Offers)
-    figures: dict[str, Callable[[], Any]] = field(default_factory=dict)  # what a tally counts of features
-    # features at work, by section, for those that start later
-    found: dict[str, Any] = field(default_factory=dict)
+    metrics: dict[str, Callable[[], Any]] = field(default_factory=dict)  # of each feature, for `[tally]`
+    # running features by section, and "machine", the log's state machine; for features that start later
+    services: dict[str, Any] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Features:
-    parts: tuple[tuple[Any, Any], ...] = ()  # module and its options
-    disk: Any = field(default=None)  # where lasting state goes; None: the machine's own disk
+    """The features that are switched on, in the order in which they start."""
+
+    parts: tuple[tuple[Any, Any], ...] = ()  # each module with its options
+    disk: Any = field(default=None)  # for persistent state; None: the machine's own disk
 
     def carrier(self, loop: asyncio.AbstractEventLoop, clock: Clock) -> Carrier | None:
-        """What the upstreams speak, where a feature says that it is not HTTP."""
+        """The upstreams' protocol, if a feature sets one other than HTTP."""
         found = (module.carrier(options, loop, clock) for module, options in self.parts)
         return next((carrier for carrier in found if carrier is not None), None)
 
@@ -88,11 +90,11 @@
         return next((objection for objection in found if objection is not None), None)
 
     def peering(self) -> bool:
-        """Whether any of them talks to other balancers."""
+        """Whether any feature talks to other balancers."""
         return any(getattr(module, "PEERING", False) for module, _ in self.parts)
 
     def connections(self, given: config.Config) -> int:
-        """Of those to clients, how many the features take for theirs."""
+        """How many of the client connections the features reserve for their own clients."""
         return sum(module.connections(options, given) for module, options in self.parts)
 
     async def start(
@@ -106,7 +108,7 @@
         reload: Reload | None = None,
         listen: Listen = listen,
     ) -> list[Service]:
-        """`offers`: takes up what the features answer operators."""
+        """Start all features in order. Their console calls are added to `offers`."""
         if not self.parts:
             return []
         disk = self.disk
@@ -125,14 +127,14 @@
 
 
 def load(path: str, required: bool, settings: Settings | None) -> Features:
-    """Read and check the file, against settings where they are given; ConfigError in one line."""
+    """Read and check the file, against `settings` if given. Raises ConfigError with one line of text."""
     parts, given = [], features.read(path, required)
     for name in given:
         if name not in SECTIONS:
             raise config.ConfigError(
                 f"feature file {path!r}: there is no feature [{name}]; there are " f"{', '.join(SECTIONS)}"
             )
-    for name in (n for n in SECTIONS if n in given):  # in the order in which one may build on another
+    for name in (n for n in SECTIONS if n in given):  # in the order in which one may depend on another
         section = given[name]
         module = importlib.import_module(SECTIONS[name])
         options = features.convert(path, name, section, module.Options)
--- a/dykeshift/node/logs.py
+++ b/dykeshift/node/logs.py
@@ -1,7 +1,8 @@
-"""`[logs]`: the daemon's log as structured records (structlog): an event's name, its fields, when, how grave.
+"""The feature `[logs]`: structured log records (structlog) with an event name, fields, time and level.
 
-Without the section the log stays lines of the standard library, as the platform expects. The calls are the
-same: a record that carries `event` and `fields` (logging's `extra`) keeps them apart from its sentence.
+Without the section the log stays in the text format of the standard library, as the platform expects. The
+logging calls are the same in both cases: they pass `event` and `fields` in logging's `extra`, apart from the
+sentence.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from msgspec import Struct
 from structlog.typing import Processor
 
-from dykeshift.node.quiet import Still, carrier, check, connections, objection
+from dykeshift.node.quiet import PassiveService, carrier, check, connections, objection
 
 if TYPE_CHECKING:
     from dykeshift.node.features import Host
 
 __all__ = ["Options", "carrier", "check", "connections", "formatter", "objection", "start"]
 
-Event = MutableMapping[str, Any]
+EventDict = MutableMapping[str, Any]
 
 
 class Options(Struct, frozen=True, forbid_unknown_fields=True):
@@ -30,18 +31,18 @@
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
-async def start(options: Options, host: Host) -> Still:
+async def start(options: Options, host: Host) -> PassiveService:
     lines = sys.stderr.isatty() if options.form == "auto" else options.form == "lines"
     handler = logging.StreamHandler()
     handler.setFormatter(formatter(lines))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(options.level.upper())
-    return Still()
+    return PassiveService()
 
 
 def formatter(lines: bool) -> logging.Formatter:
-    """For people (`lines`) or for programs: JSON, one object a line."""
+    """A formatter for people (`lines`) or for programs (JSON, one object per line)."""
     render: Processor = structlog.processors.JSONRenderer()
     if lines:
         render = structlog.dev.ConsoleRenderer(event_key="message")
@@ -51,7 +52,7 @@
             structlog.processors.TimeStamper(fmt="iso", utc=True),
         ],
         processors=[
-            _named,
+            _split_event,
             structlog.stdlib.ProcessorFormatter.remove_processors_meta,
             structlog.processors.format_exc_info,
             render,
@@ -59,8 +60,8 @@
     )
 
 
-def _named(logger: Any, method: str, event: Event) -> Event:
-    """The sentence becomes `message`, the event's own name `event`, its fields stand beside."""
+def _split_event(logger: Any, method: str, event: EventDict) -> EventDict:
+    """Put the sentence under `message`, the event's name under `event`, and its fields as further keys."""
     record: logging.LogRecord = event["_record"]
     event["message"] = event.pop("event")
     event["event"] = getattr(record, "event", record.name)
--- a/dykeshift/node/mllp.py
+++ b/dykeshift/node/mllp.py
@@ -1,4 +1,4 @@
-"""The feature `[mllp]`: MLLP listeners, the memory of answers and its journal, MLLP servers as upstreams."""
+"""The feature `[mllp]`: MLLP listeners, stored answers and their journal, MLLP servers as upstreams."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Route(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """From a trigger to a request class of the settings."""
+    """Maps an HL7 trigger event to a request class of the settings."""
 
     trigger: str
     klass: str = msgspec.field(name="class")
@@ -41,8 +41,8 @@
     key: str = ""
 
 
-class Remembered(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds of the memory of answers."""
+class MemoryOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Bounds of the store of answers that repeated messages are answered from."""
 
     entries: int = 100_000
     megabytes: int = 64
@@ -52,20 +52,20 @@
 
 
 class Options(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Of the section `[mllp]`; each has its default."""
+    """The options of the section `[mllp]`."""
 
     listen: list[str] = []
     upstreams: Literal["http", "mllp"] = "http"
-    journal: str = ""  # a directory; nothing: what was answered is forgotten in a restart
+    journal: str = ""  # a directory; empty: stored answers are lost at a restart
     connections: int = 100
-    pipelined: int = 8  # frames of one connection that may be in work
+    pipelined: int = 8  # frames of one connection that may be in progress
     max_frame_kb: int = 1024
-    memory: Remembered = Remembered()
+    memory: MemoryOptions = MemoryOptions()
     map: list[Route] = []
 
 
 def check(options: Options, settings: Settings | None) -> None:
-    """ValueError in one line where the options can't be used."""
+    """Raises ValueError with one line of text if the options cannot be used."""
     for address in options.listen:
         read_address(address)
     if options.listen and not options.map:
@@ -81,13 +81,16 @@
         ("memory.fresh_s", options.memory.fresh_s, 0.0),
     ):
         if value < least:
-            raise ValueError(f"{name} is {value}, and {least} at the least")
+            raise ValueError(f"{name} is {value}, and must be at least {least}")
     if settings is not None:
         mapping(options, settings)
 
 
 def mapping(options: Options, settings: Settings) -> Mapping:
-    """The routes with the places of their classes; `ValueError` in one line where there is no such class."""
+    """The routes with their classes' indices.
+
+    Raises ValueError with one line of text for an unknown class.
+    """
     numbers = {klass.name: n for n, klass in enumerate(settings.classes)}
     rules = []
     for route in options.map:
@@ -107,8 +110,8 @@
     return Mapping(settings.classes, rules, options.upstreams == "mllp")
 
 
-def bounds(options: Remembered) -> Bounds:
-    """The same bounds in the units of the memory."""
+def bounds(options: MemoryOptions) -> Bounds:
+    """The options in the units that `Memory` uses."""
     return Bounds(
         age=int(options.age_hours * 3600e9),
         entries=options.entries,
@@ -119,14 +122,14 @@
 
 
 def carrier(options: Options, loop: asyncio.AbstractEventLoop, clock: Clock) -> MllpCarrier | None:
-    """Who speaks to the upstreams where they are MLLP servers."""
+    """The carrier for upstreams that are MLLP servers."""
     if options.upstreams != "mllp":
         return None
     return MllpCarrier(loop, clock, options.max_frame_kb << 10)
 
 
 def connections(options: Options, given: Config) -> int:
-    """How many clients may be connected by MLLP: at most half of all."""
+    """How many MLLP clients may be connected: at most half of all client connections."""
     return min(options.connections, given.connections // 2)
 
 
@@ -136,19 +139,19 @@
 
 
 class MllpService:
-    """`servers` in the order of `listen`."""
+    """The MLLP front and its listeners, in the order of the option `listen`."""
 
     def __init__(self, front: MllpFront, servers: list[Listening]) -> None:
         self.front, self.servers = front, servers
 
     def drain(self) -> None:
-        """Accept no connection any more, and let those that are open end."""
+        """Stop accepting connections, and let the open ones finish."""
         for server in self.servers:
             server.close()
         self.front.drain()
 
     def busy(self) -> bool:
-        """Whether a message is in work, or may be on a connection that is being accepted."""
+        """Whether a message is in progress, or may be on a connection that is being accepted."""
         return self.front.busy() or any(server.pending() for server in self.servers)
 
     def close(self) -> None:
@@ -157,7 +160,7 @@
 
 
 async def start(options: Options, host: Host) -> MllpService:
-    """Open the listeners; `ConfigError` where one, or the journal, cannot be used."""
+    """Open the listeners. Raises ConfigError if one of them, or the journal, cannot be used."""
     memory = Memory[Waiter](host.clock.time_ns(), bounds(options.memory), complete=bool(options.journal))
     journal = _journal(options.journal, host, memory) if options.journal else None
     routes = mapping(options, host.given.settings)
--- a/dykeshift/node/quiet.py
+++ b/dykeshift/node/quiet.py
@@ -1,4 +1,4 @@
-"""The parts of a feature that takes no part in serving: it opens, carries and objects to nothing."""
+"""Default hooks of a feature that takes no part in serving: no connections, no carrier, no objections."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     from dykeshift.engine.upstream import Carrier
 
 
-class Still:
-    """Has nothing to drain and nothing to finish."""
+class PassiveService:
+    """A service with nothing to drain and no work in flight."""
 
     def drain(self) -> None: ...
 
@@ -27,7 +27,7 @@
 
 
 def check(options: Any, settings: Settings | None) -> None:
-    """Nothing beyond the kinds of its values."""
+    """Accept all options that have the declared types."""
 
 
 def carrier(options: Any, loop: asyncio.AbstractEventLoop, clock: Clock) -> Carrier | None:
--- a/dykeshift/node/reload.py
+++ b/dykeshift/node/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read anew, and what may change in service is taken over in one step."""
+"""Reload on SIGHUP: the configuration is read again, and changes possible at run time are applied at once."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class Reload:
-    """Takes new settings, and moves to another discovery; connections, requests and what was learned stay.
+    """Applies new settings and moves to another discovery; connections, requests and learned state stay.
 
-    A file that cannot be used changes nothing. All else in it holds from the next start on.
+    A file that cannot be used changes nothing. Everything else in a file takes effect at the next start.
     """
 
     def __init__(
@@ -27,18 +27,18 @@
         self.discovery = discovery
         self.driver = driver
         self.reader = reader
-        # Where the fleet agrees on its settings: whether those of a file are to be taken.
-        self.judge: Callable[[config.Config], bool] | None = None
+        # Set where the fleet agrees on its settings: whether the settings of a reloaded file may be used.
+        self.accept: Callable[[config.Config], bool] | None = None
 
     def take(
         self, settings: Settings, forms: dict[str, frozenset[Idempotency]] | None = None, narrow: bool = False
     ) -> None:
-        """Others from now on, for the module and for the front alike."""
+        """Use these settings from now on, in the balancer and in the request reader."""
         taken = self.driver.take_settings(settings, narrow)
         self.reader.know(taken.classes, taken.retired, forms)
 
     def __call__(self) -> None:
-        """Read the configuration anew, as the signal asks."""
+        """Read the configuration again and apply it; the handler of SIGHUP."""
         ledger = self.driver.ledger
         try:
             new = self.load()
@@ -50,18 +50,21 @@
                 extra={"event": "configuration.kept", "fields": {"reason": str(exc)}},
             )
             return
-        if self.judge is None:
+        if self.accept is None:
             ledger.reloads += 1
             self.take(new.settings)
-        elif self.judge(new):
+        elif self.accept(new):
             ledger.reloads += 1
         else:
             ledger.reloads_failed += 1
         if new.discovery == self.discovery.address:
-            log.info("discovery is the same in the new configuration", extra={"event": "discovery.same"})
+            log.info(
+                "the address of discovery is unchanged in the new configuration",
+                extra={"event": "discovery.same"},
+            )
             return
         log.info(
-            "discovery is at %s:%d now",
+            "moving to the discovery at %s:%d",
             *new.discovery,
             extra={"event": "discovery.moved", "fields": {"to": "%s:%d" % new.discovery}},
         )
--- a/dykeshift/node/shutdown.py
+++ b/dykeshift/node/shutdown.py
@@ -1,7 +1,7 @@
-"""How this process lets go of its clients: told to end by a signal, put on standby, followed by a later one.
+"""Drains this process's clients: on a termination signal, on standby, or when a newer process takes over.
 
-`engine/drain.py` says in which order, `engine/termination.py` until when; here both are told what happens and
-what they say is done.
+`engine/drain.py` decides the order of steps and `engine/termination.py` the deadlines; this module reports
+events to both and carries out their decisions.
 """
 
 from __future__ import annotations
@@ -19,31 +19,31 @@
 
 log = logging.getLogger(__name__)
 
-TICK = 0.02  # seconds between two looks at a drain
-LAST_READS = 0.05  # seconds in which requests that have come are read, to be refused
-LAST_ROUNDS = 4  # of the loop: attempts end, answers are given, and they are written
+POLL_INTERVAL_S = 0.02  # between two checks of a drain in progress
+FINAL_READ_S = 0.05  # for reading requests that have already arrived, to refuse them
+FINAL_LOOP_ROUNDS = 4  # iterations of the event loop in which attempts end and answers are made and written
 
 
 class Shutdown:
-    """From the first order to let go of clients to the end of the process."""
+    """From the first request to drain until the end of the process."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, drain: Drain, driver: Driver) -> None:
         self.loop, self.clock, self.drain, self.driver = loop, clock, drain, driver
-        self.leaving = asyncio.Event()  # set while the drain wants looking after
-        self.services_told = False
+        self.leaving = asyncio.Event()  # set while a drain has to be driven by `run`
+        self.services_draining = False
 
     @property
     def begun(self) -> bool:
-        """Whether the process has been told to end."""
+        """Whether the process is terminating."""
         return self.drain.ending
 
     def standby(self) -> None:
-        """Let go of clients until `Drain.active`; operators ask for it."""
+        """Drain clients until `Drain.active`; requested by an operator."""
         self.drain.standby(self.loop.time())
         self.leaving.set()
 
     def terminate(self) -> None:
-        """The process is told to end; a second signal changes nothing."""
+        """Begin to terminate; a second signal changes nothing."""
         if not self.begun:
             self.drain.terminate(self.loop.time())
             self.driver.terminate()
@@ -52,34 +52,34 @@
 
     def _log_begun(self) -> None:
         termination = self.driver.termination
-        left = (termination.answer_by - termination.heard_at) / 1e9
-        fields = {"open": len(self.driver.jobs), "answer_within_s": round(left, 3)}
+        remaining = (termination.answer_by - termination.heard_at) / 1e9
+        fields = {"open": len(self.driver.jobs), "answer_within_s": round(remaining, 3)}
         log.info(
-            "told to end: %d requests open, all are answered within %.3f s",
+            "terminating: %d requests in flight, all are answered within %.3f s",
             len(self.driver.jobs),
-            left,
+            remaining,
             extra={"event": "shutdown.begun", "fields": fields},
         )
 
     async def close(self, front: Front, services: Sequence[Service]) -> None:
-        """Answer what is open, whatever timer is late, refuse what is unread, and let go of everything."""
+        """Answer what is in flight without waiting for timers, refuse what is unread, close everything."""
         self.driver.answer_all()
-        until = self.loop.time() + LAST_READS
+        until = self.loop.time() + FINAL_READ_S
         while front.unread() and self.loop.time() < until:
             await asyncio.sleep(0)
         front.stop_reading()
-        for _ in range(LAST_ROUNDS):
+        for _ in range(FINAL_LOOP_ROUNDS):
             await asyncio.sleep(0)
         front.close_all()
         while front.streaming() and self.clock.monotonic_ns() < self.driver.termination.kill_at:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(POLL_INTERVAL_S)
         front.cut_all()
         self.driver.close()
         for service in services:
             service.close()
 
     async def run(self, front: Front, server: Listening, services: Sequence[Service]) -> None:
-        """Wait until the process may end, and leave nothing behind that somebody waits for."""
+        """Wait until the process may end and nobody waits for an answer from it."""
         while self.drain.state is not State.OVER:
             await self.leaving.wait()
             await self._wind_down(front, server, services)
@@ -87,13 +87,13 @@
         self._log_end()
 
     async def _wind_down(self, front: Front, server: Listening, services: Sequence[Service]) -> None:
-        """Let go of the clients, until it is over or taken back.
+        """Drain the clients until the drain is complete or cancelled.
 
-        None is turned away while some may still come, all that were taken are answered.
+        No client is refused while new ones may still arrive, and every accepted request is answered.
         """
         while not self.drain.taking:
-            if self.drain.ending and not self.services_told:
-                self.services_told = True
+            if self.drain.ending and not self.services_draining:
+                self.services_draining = True
                 for service in services:
                     service.drain()
             busy = server.pending() or front.busy() or any(service.busy() for service in services)
@@ -106,7 +106,7 @@
             if self.drain.state is State.OVER:
                 await self.close(front, services)
                 return
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _hurry(self) -> Hurry:
         now, termination = self.clock.monotonic_ns(), self.driver.termination
@@ -115,12 +115,12 @@
         return Hurry.REFUSE if termination.refuses(now) else Hurry.NONE
 
     def _log_end(self) -> None:
-        """What was kept from happening and what was closed, by reason, in one line as the process ends."""
+        """Log, by reason, how often something was withheld or closed during the process's life."""
         fields = self.driver.ledger.occurrences.figures()
-        took = (self.clock.monotonic_ns() - self.driver.termination.heard_at) / 1e9
+        elapsed = (self.clock.monotonic_ns() - self.driver.termination.heard_at) / 1e9
         log.info(
-            "ended %.3f s after it was told to: %s",
-            took,
+            "ended %.3f s after the termination signal: %s",
+            elapsed,
             fields or "nothing was kept back or closed",
-            extra={"event": "ended", "fields": {**fields, "seconds": round(took, 3)}},
+            extra={"event": "ended", "fields": {**fields, "seconds": round(elapsed, 3)}},
         )
--- a/dykeshift/node/tally.py
+++ b/dykeshift/node/tally.py
@@ -1,7 +1,7 @@
-"""`[tally]`: now and then one record of the log with what was counted since the last, to add up over a fleet.
+"""The feature `[tally]`: a periodic log record of the counts since the last one, to be summed over a fleet.
 
-What is counted goes over the seam between driver and decision module, so it is counted there: the module is
-wrapped, and without the section there is no wrapper. `benchmarks/tally.py` adds up the logs of all balancers.
+The counts are of the calls and actions between driver and decision module (`Balancer`), so the module is
+wrapped; without the section there is no wrapper. `benchmarks/tally.py` adds up the logs of all balancers.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from msgspec import Meta, Struct
 
 from dykeshift.interface import Action, AttemptEnd, Fail, Refuse, Request, Send, ServerList, Watch
-from dykeshift.node.quiet import Still, carrier, check, connections, objection
+from dykeshift.node.quiet import PassiveService, carrier, check, connections, objection
 from dykeshift.rules import Balancer
 
 if TYPE_CHECKING:
     from dykeshift.node.features import Host
 
-__all__ = ["Counted", "Options", "Tally", "carrier", "check", "connections", "objection", "start"]
+__all__ = ["CountingBalancer", "Options", "Tally", "carrier", "check", "connections", "objection", "start"]
 
 log = logging.getLogger(__name__)
 EVENT = "tally"
@@ -29,8 +29,8 @@
     every_s: Annotated[float, Meta(ge=0.1, le=3600)] = 5.0
 
 
-class Counted:
-    """A decision module that notes what goes in and out. Decides nothing."""
+class CountingBalancer:
+    """A wrapper of the decision module that counts its calls and actions, and changes none."""
 
     def __init__(self, module: Balancer) -> None:
         self.module = module
@@ -41,27 +41,27 @@
 
     def on_request(self, now: int, request: Request) -> list[Action]:
         self.counts["retries" if request.retry else "requests"] += 1
-        return self._noted(self.module.on_request(now, request))
+        return self._count_actions(self.module.on_request(now, request))
 
     def on_attempt_end(self, now: int, end: AttemptEnd) -> list[Action]:
         self.counts["end_" + end.outcome.name.lower()] += 1
-        return self._noted(self.module.on_attempt_end(now, end))
+        return self._count_actions(self.module.on_attempt_end(now, end))
 
     def on_list(self, now: int, update: ServerList) -> list[Action]:
         self.counts["list_" + update.kind.name.lower()] += 1
-        return self._noted(self.module.on_list(now, update))
+        return self._count_actions(self.module.on_list(now, update))
 
     def on_client_gone(self, now: int, request_id: str) -> list[Action]:
-        self.counts["gone"] += 1  # the client left, or its time was over and the driver answered
-        return self._noted(self.module.on_client_gone(now, request_id))
+        self.counts["gone"] += 1  # the client left, or its deadline passed and the driver answered
+        return self._count_actions(self.module.on_client_gone(now, request_id))
 
     def on_discovery_moved(self, now: int) -> list[Action]:
-        return self._noted(self.module.on_discovery_moved(now))
+        return self._count_actions(self.module.on_discovery_moved(now))
 
     def on_timer(self, now: int, token: str) -> list[Action]:
-        return self._noted(self.module.on_timer(now, token))
+        return self._count_actions(self.module.on_timer(now, token))
 
-    def _noted(self, actions: list[Action]) -> list[Action]:
+    def _count_actions(self, actions: list[Action]) -> list[Action]:
         for action in actions:
             if isinstance(action, Send):
                 self.counts["attempts"] += 1
@@ -74,12 +74,12 @@
         return actions
 
 
-class Tally(Still):
-    """Writes the record, from one timer."""
+class Tally(PassiveService):
+    """Writes the record periodically."""
 
     def __init__(self, host: Host, every: float) -> None:
         self.host, self.every = host, every
-        self.module = Counted(host.driver.balancer)
+        self.module = CountingBalancer(host.driver.balancer)
         host.driver.balancer = self.module  # type: ignore[assignment]
         self.timer = host.loop.call_later(every, self._write)
 
@@ -97,11 +97,11 @@
         }
         if occurrences := driver.ledger.occurrences.figures():
             state["occurrences"] = occurrences  # since the start
-        if self.host.figures:
-            state["fleet"] = {name: figure() for name, figure in self.host.figures.items()}
+        if self.host.metrics:
+            state["fleet"] = {name: figure() for name, figure in self.host.metrics.items()}
         fields = {"seconds": self.every, "counts": dict(module.counts), "state": state}
         module.counts.clear()
-        log.info("counts of %g s", self.every, extra={"event": EVENT, "fields": fields})
+        log.info("counts of the last %g s", self.every, extra={"event": EVENT, "fields": fields})
         self.timer = self.host.loop.call_later(self.every, self._write)
 
     def close(self) -> None:
--- a/dykeshift/node/versions.py
+++ b/dykeshift/node/versions.py
@@ -1,4 +1,4 @@
-"""`[versions]`: settings and lists on which the balancers agree (docs/operators/settings.md)."""
+"""The feature `[versions]`: settings and lists agreed on by the fleet (docs/operators/settings.md)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from dykeshift.engine.discovery import number_of
 from dykeshift.interface import Settings
 from dykeshift.node.book import Calls
-from dykeshift.node.quiet import Still, carrier, connections, objection
+from dykeshift.node.quiet import PassiveService, carrier, connections, objection
 from dykeshift.settings import SettingsError
 from dykeshift.versions.book import Book
 from dykeshift.versions.changes import Change, Propose, pack
@@ -50,13 +50,13 @@
 log = logging.getLogger(__name__)
 
 PEERING = True
-WAIT = 2.5  # seconds for a change to be committed, as the agreement's calls have it
-START = 3.0  # seconds for which a balancer that hears nobody is kept from clients at its start
-ENOUGH = 20  # answers of a class until what they take is known
+COMMIT_TIMEOUT_S = 2.5  # as for the calls of `[agree]`
+STARTUP_WAIT_S = 3.0  # a balancer that reaches no other at its start reports not ready for this long
+MIN_ANSWERS = 20  # of a class, before its usual duration is reported
 
 
 class Options(Struct, frozen=True, forbid_unknown_fields=True):
-    """Of the section `[versions]`; each has its default."""
+    """The options of the section `[versions]`."""
 
     check_s: Annotated[float, Meta(ge=1, le=3600)] = 20.0
     stage_s: Annotated[float, Meta(ge=0.5, le=86_400)] = 30.0
@@ -69,82 +69,89 @@
 
 def check(options: Options, settings: Settings | None) -> None:
     if options.stage_patience_s < options.stage_s:
-        raise ValueError("stage_patience_s is under stage_s: no stage could ever end well")
+        raise ValueError("stage_patience_s is under stage_s: no stage could ever succeed")
 
 
-def times(options: Options, lease_s: float, drift: float) -> dict[str, float]:
-    """The stated times, in seconds. `contradiction_s`: C, from the first balancer that acts on a version to
-    the last that acts on the one before; `change_s`: from a proposal that all have checked to the version's
-    force."""
-    middle = lease_s * (1 + 2 * drift)
-    return {"contradiction_s": lease_s, "change_s": round(middle + 2 * options.report_s, 3)}
+def timing_bounds(options: Options, lease_s: float, drift: float) -> dict[str, float]:
+    """The documented bounds, in seconds.
+
+    `contradiction_s`: the longest time in which balancers act on two different versions, from the first that
+    acts on the new one to the last that acts on the one before. `change_s`: from a proposal that all have
+    checked until its version takes effect.
+    """
+    joint_phase = lease_s * (1 + 2 * drift)
+    return {"contradiction_s": lease_s, "change_s": round(joint_phase + 2 * options.report_s, 3)}
 
 
 def prepare(options: Options, host: Host) -> None:
-    """The history that starts before this feature is to act on its book."""
-    host.found["machine"] = Book()
+    """Register the state machine of `[versions]` for the log of `[agree]`, which starts first."""
+    host.services["machine"] = Book()
 
 
-class Service(Still):
-    """The versions in this process: the gate of its engine, and who tells the module what holds."""
+class Service(PassiveService):
+    """Applies the agreed settings, bans and lists to this process, and checks each send against them."""
 
     def __init__(self, options: Options, host: Host, agree: Agree, core: Versions) -> None:
         self.options, self.host, self.agree, self.core = options, host, agree, core
         assert host.reload is not None
         self.reload = host.reload
-        self.stamp = 0  # of what the module was told last
+        self.applied_stamp = 0  # of the state applied last
         self.settings: Settings | None = None
-        self.out: set[str] = set()  # servers that are out by the fleet's word
+        self.fleet_bans: set[str] = set()  # servers banned here because the fleet agreed on it
         self.leaving: frozenset[int] = frozenset()
         self.timer: asyncio.TimerHandle | None = None
         self.proposing = False
-        self.began, self.heard = host.clock.monotonic_ns(), False  # what is in force, in this life
-        self.differs = ""  # why this balancer's file was not taken
+        # informed: has known, since its start, which version is in force
+        self.started_at, self.informed = host.clock.monotonic_ns(), False
+        self.file_difference = ""  # why the settings of this balancer's file are not in use
         self.calls = Calls(self)
 
     def begin(self) -> None:
         host = self.host
         host.driver.pool.gate = self
         host.driver.waits = self.waits
-        self.reload.judge = self.judge
-        self.agree.listeners.append(self._heard)
-        self.agree.view.port.claims.insert(0, (is_ours, self._take))
-        self.agree.view.more["rules"] = self.calls.rules
+        self.reload.accept = self.accept_file
+        self.agree.listeners.append(self._on_history_event)
+        self.agree.view.port.claims.insert(0, (is_ours, self._on_datagram))
+        self.agree.view.extra_status["rules"] = self.calls.in_force
         self.calls.register(host.offers)
-        host.figures["versions"] = self.calls.figures
-        host.found["versions"] = self
+        host.metrics["versions"] = self.calls.figures
+        host.services["versions"] = self
         self._tick()
 
     def now(self) -> int:
         return self.host.clock.monotonic_ns()
 
     def waits(self) -> bool:
-        """Back from nothing it knows of no bans: `/ready` says no until it has heard, or is alone for so
-        long."""
-        waiting = not self.heard and self.now() - self.began < START * 1e9
+        """Whether `/ready` still has to say no.
+
+        After a start without saved state the fleet's bans are unknown: it waits until they have been heard,
+        or until no other balancer has been reached for STARTUP_WAIT_S.
+        """
+        waiting = not self.informed and self.now() - self.started_at < STARTUP_WAIT_S * 1e9
         return waiting and self.core.acts.doubtful
 
-    # ---- the gate ----
+    # ---- the check before each send ----
 
     def look(self) -> int:
         stamp = self.core.look()
-        if stamp != self.stamp:
-            self.stamp = stamp
-            self._act()
+        if stamp != self.applied_stamp:
+            self.applied_stamp = stamp
+            self._apply()
         return self.core.force.stamp
 
-    def _act(self) -> None:
-        """Tell the module what holds from now on."""
+    def _apply(self) -> None:
+        """Apply the state that is in force from now on."""
         acts, driver = self.core.acts, self.host.driver
-        self.heard = self.heard or not acts.doubtful
+        self.informed = self.informed or not acts.doubtful
         if acts.settings != self.settings:
             self.settings = acts.settings
             self.reload.take(acts.settings, self.core.force.forms(), narrow=True)
         else:
-            taken = driver.balancer.settings
-            self.reload.reader.know(taken.classes, taken.retired, self.core.force.forms())
-        self._act_on_bans(acts.out)
-        self._tell_word()
+            current = driver.balancer.settings
+            self.reload.reader.know(current.classes, current.retired, self.core.force.forms())
+        self._apply_bans(acts.out)
+        self._apply_word()
         level, why = (logging.WARNING if acts.doubtful else logging.INFO), f": {acts.why}" * bool(acts.why)
         fields = {
             "version": acts.version,
@@ -161,32 +168,32 @@
             extra={"event": "versions.acts", "fields": fields},
         )
 
-    def _act_on_bans(self, wanted: frozenset[str]) -> None:
+    def _apply_bans(self, wanted: frozenset[str]) -> None:
         driver = self.host.driver
-        for name in sorted(wanted - self.out):
-            self.out.add(name)
-            driver.note_listed(number_of(name))  # some other balancer's list had it
+        for name in sorted(wanted - self.fleet_bans):
+            self.fleet_bans.add(name)
+            driver.note_listed(number_of(name))  # it was on another balancer's list
             driver.ban(number_of(name))
-        for name in sorted(self.out - wanted):
-            self.out.discard(name)
+        for name in sorted(self.fleet_bans - wanted):
+            self.fleet_bans.discard(name)
             desks = self.host.offers.desks
             if not desks or not desks[0].exit(name):
                 driver.end_ban(number_of(name))
 
-    def _tell_word(self) -> None:
+    def _apply_word(self) -> None:
         acts = self.core.acts
         names = acts.wary | acts.preferred
         self.host.driver.take_word(word(acts, {n: number_of(n) for n in names}, self.leaving))
 
-    # ---- the history ----
+    # ---- the replicated log ----
 
-    def _heard(self, event: Event) -> None:
+    def _on_history_event(self, event: Event) -> None:
         if event.kind in ("committed", "installed", "fenced", "founded", "lost"):
             if event.kind != "committed":
                 self.core.force.reread()
             self.look()
 
-    def _take(self, data: bytes, address: Any) -> None:
+    def _on_datagram(self, data: bytes, address: Any) -> None:
         self.core.on_datagram(self.now(), data, self.agree.view.view.seal)
 
     def _tick(self) -> None:
@@ -194,14 +201,18 @@
         self.tick()
 
     def tick(self) -> None:
-        """Look round, say what is to be said, propose what is to be proposed."""
+        """Update observations, apply the state in force, send messages and propose the change that is due."""
         now = self.now()
-        self._see()
+        self._update_observations()
         self.look()
         messages, change = self.core.on_tick(now)
-        places, seal = self.agree.core.shared.places, self.agree.view.view.seal
+        addresses, seal = self.agree.core.shared.places, self.agree.view.view.seal
         self.agree.view.port.send(
-            [(encode(message, seal), places[number]) for message, number in messages if number in places]
+            [
+                (encode(message, seal), addresses[number])
+                for message, number in messages
+                if number in addresses
+            ]
         )
         for note in self.core.notes:
             log.warning("%s", note, extra={"event": "versions.lists", "fields": {"text": note}})
@@ -212,14 +223,16 @@
     def _propose(self, change: Change) -> None:
         self.proposing = True
 
-        def over(answer: Answer) -> None:
+        def on_answer(answer: Answer) -> None:
             self.proposing = False
 
-        self.agree.runner.propose(pack(change), self.core.book.pages.version, int(WAIT * 1e9), None, over)
+        self.agree.runner.propose(
+            pack(change), self.core.book.pages.version, int(COMMIT_TIMEOUT_S * 1e9), None, on_answer
+        )
 
-    # ---- what this balancer sees ----
+    # ---- what this balancer observes ----
 
-    def _see(self) -> None:
+    def _update_observations(self) -> None:
         driver, discovery = self.host.driver, self.reload.discovery
         tiers = driver.ledger.tiers.values()
         self.core.answers = (
@@ -234,7 +247,7 @@
             leaving = self.core.lists.out(now)
             if leaving != self.leaving:
                 self.leaving = leaving
-                self.core.force.stamp += 1  # what was decided before does not go out
+                self.core.force.stamp += 1  # sends that were decided before are no longer made
 
     def sight(self) -> Sight:
         driver, balancer = self.host.driver, self.host.driver.balancer
@@ -242,7 +255,7 @@
         usual = {
             c.name: balancer.records[n].usual
             for n, c in enumerate(balancer.settings.classes)
-            if c.name in classes and tiers[c.name].success >= ENOUGH
+            if c.name in classes and tiers[c.name].success >= MIN_ANSWERS
         }
         return Sight(
             frozenset(n for n, u in driver.pool.upstreams.items() if u.listed_ready),
@@ -252,26 +265,30 @@
             self.agree.view.view.standing.at_least,
         )
 
-    # ---- a file that is read anew ----
+    # ---- reload of the configuration file ----
+
+    def accept_file(self, new: Config) -> bool:
+        """Whether the settings of a reloaded file may be used.
 
-    def judge(self, new: Config) -> bool:
-        """SIGHUP: what is each balancer's own holds; what all share is said, refused or proposed."""
+        The part that is each balancer's own is taken. Where the shared part differs from the version in
+        force, it is logged and, by the option `hup`, refused or proposed to the fleet.
+        """
         raw = new.peering.settings if new.peering is not None else None
         try:
             same = raw is not None and self.core.reconfigure(raw)
         except SettingsError as exc:
-            same, self.differs = False, str(exc)
+            same, self.file_difference = False, str(exc)
         self.look()
         if same:
-            self.differs = ""
+            self.file_difference = ""
             return True
         held = self.core.book.pages.rules.version
         if self.options.hup == "propose" and raw is not None:
-            self.differs = f"the file differs from version {held}: proposed"
+            self.file_difference = f"the file differs from version {held}: proposed"
             self._propose(Propose(msgspec.Raw(share(raw).encode()), by=f"file of {self.host.given.name}"))
         else:
-            self.differs = f"the file differs from version {held}, which stays in force"
-        log.error("%s", self.differs, extra={"event": "versions.file", "fields": {"version": held}})
+            self.file_difference = f"the file differs from version {held}, which stays in force"
+        log.error("%s", self.file_difference, extra={"event": "versions.file", "fields": {"version": held}})
         return False
 
     def close(self) -> None:
@@ -280,13 +297,13 @@
 
 
 async def start(options: Options, host: Host) -> Service:
-    """ConfigError where there is no history to build on."""
-    agree: Agree | None = host.found.get("agree")
+    """Raises ConfigError without `[agree]`, or if this balancer is not one of the numbered peers."""
+    agree: Agree | None = host.services.get("agree")
     if agree is None or host.given.peering is None or host.reload is None:
-        raise ConfigError("[versions] wants [agree]")
+        raise ConfigError("[versions] requires [agree]")
     view, shared = agree.view.view, agree.core.shared
     if view.me.number == NOBODY:
-        raise ConfigError("[versions] wants this balancer's number among its peers")
+        raise ConfigError("[versions] requires this balancer to be one of its configured peers")
     try:
         own = Own(host.given.peering.settings)
     except SettingsError as exc:
@@ -308,7 +325,7 @@
     core = Versions(
         terms,
         own,
-        host.found["machine"],
+        host.services["machine"],
         view.me.number,
         view.me.birth,
         link,
--- a/dykeshift/node/view.py
+++ b/dykeshift/node/view.py
@@ -1,4 +1,4 @@
-"""`[view]`: this balancer's view of the others (docs/operators/fleet.md). Nothing decides by it yet."""
+"""The feature `[view]`: gossip membership, this balancer's view of the others (docs/operators/fleet.md)."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from dykeshift import __version__
 from dykeshift.engine.config import ConfigError
 from dykeshift.interface import Settings
-from dykeshift.node.quiet import Still, carrier, connections, objection
+from dykeshift.node.quiet import PassiveService, carrier, connections, objection
 from dykeshift.view.core import Event, View
 from dykeshift.view.core import Options as Terms
 from dykeshift.view.shell import Port
@@ -33,14 +33,14 @@
 log = logging.getLogger(__name__)
 
 PEERING = True
-MARK = "lifttrail-view.json"  # in $TMPDIR: under which birth and life this balancer is known
-LOOK = 0.05  # seconds between two looks at whether a newer process has taken over
-LOUD = {"twin": logging.ERROR, "woken": logging.WARNING, "bounds": logging.DEBUG}
-LEAST_PERIODS = 40  # in a lease: so many until a cut is surely seen where a thousand balancers are
+IDENTITY_FILE = "lifttrail-view.json"  # in $TMPDIR: birth and life under which peers know this balancer
+POLL_INTERVAL_S = 0.05  # between two checks whether a newer process has taken over
+LOG_LEVELS = {"twin": logging.ERROR, "woken": logging.WARNING, "bounds": logging.DEBUG}
+MIN_PERIODS_PER_LEASE = 40  # until a thousand balancers have surely detected a network partition
 
 
 class Options(Struct, frozen=True, forbid_unknown_fields=True):
-    """Of the section `[view]`; each has its default."""
+    """The options of the section `[view]`."""
 
     fleet: Annotated[str, Meta(min_length=1, max_length=64)] = "lifttrail"
     key: Annotated[str, Meta(max_length=32)] = ""
@@ -54,13 +54,15 @@
 def check(options: Options, settings: Settings | None) -> None:
     if len(options.key.encode()) > 32:
         raise ValueError("key has more than 32 bytes")
-    if options.lease_s < LEAST_PERIODS * options.period_s:
-        raise ValueError(f"lease_s is under {LEAST_PERIODS} periods: who is cut off might not notice in time")
+    if options.lease_s < MIN_PERIODS_PER_LEASE * options.period_s:
+        raise ValueError(
+            f"lease_s is under {MIN_PERIODS_PER_LEASE} periods: a partition might not be noticed in time"
+        )
 
 
 def digest(settings: Settings) -> int:
-    """Of what a balancer acts on; the zone is its own, the order of classes is not a rule."""
-    told = dataclasses.replace(
+    """A hash of the settings that balancers must share: without the own zone and the order of the classes."""
+    shared = dataclasses.replace(
         settings,
         zone=0,
         classes=tuple(
@@ -70,22 +72,22 @@
         ),
         retired=frozenset(),
     )
-    return int.from_bytes(hashlib.blake2s(repr(told).encode(), digest_size=4).digest(), "big")
+    return int.from_bytes(hashlib.blake2s(repr(shared).encode(), digest_size=4).digest(), "big")
 
 
-def _program() -> int:
+def _program_version() -> int:
     major, minor = (int(part) for part in __version__.split(".")[:2])
     return major << 8 | minor
 
 
-class Mark:
-    """What another process of this balancer, which shares the folder, is known by."""
+class IdentityFile:
+    """The identity of this balancer, in a file shared with the process that it replaces or is replaced by."""
 
     def __init__(self, folder: str | None) -> None:
-        self.path = os.path.join(folder, MARK) if folder else None
+        self.path = os.path.join(folder, IDENTITY_FILE) if folder else None
 
     def read(self) -> tuple[int, int]:
-        """Birth and life; zeros where nothing is known."""
+        """Birth and life number; zeros if the file is missing or unreadable."""
         try:
             with open(self.path or "", encoding="utf-8") as file:
                 found = json.load(file)
@@ -93,62 +95,62 @@
         except (OSError, ValueError, TypeError, KeyError):
             return 0, 0
 
-    def write(self, birth: int, known: int) -> None:
+    def write(self, birth: int, life_number: int) -> None:
         if self.path is None:
             return
         draft = f"{self.path}.{os.getpid()}"
         try:
             with open(draft, "w", encoding="utf-8") as file:
-                json.dump({"birth": birth, "life": known}, file)
+                json.dump({"birth": birth, "life": life_number}, file)
             os.rename(draft, self.path)
         except OSError as exc:
             log.warning(
-                "the view's mark can't be kept, an upgrade will look like a restart: %s",
+                "view identity file cannot be written, peers will take an upgrade for a restart: %s",
                 exc,
                 extra={"event": "view.unmarked", "fields": {"reason": str(exc)}},
             )
 
 
-class Service(Still):
-    """The view in this process."""
+class Service(PassiveService):
+    """This process's member of the gossip group, with its console call."""
 
-    def __init__(self, host: Host, view: View, mark: Mark) -> None:
-        self.host, self.view, self.mark = host, view, mark
-        self.port = Port(host.loop, host.clock, view, self._tell)
+    def __init__(self, host: Host, view: View, identity: IdentityFile) -> None:
+        self.host, self.view, self.identity = host, view, identity
+        self.port = Port(host.loop, host.clock, view, self._on_event)
         self.settings: Settings | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.superseded = False
-        self.watchers: list[Callable[[], None]] = []  # are called when the view has changed
-        self.more: dict[str, Callable[[], Any]] = {}  # what others have to say in the same answer
+        self.watchers: list[Callable[[], None]] = []  # called when the view has changed
+        self.extra_status: dict[str, Callable[[], Any]] = {}  # parts of `GET /fleet` from other features
 
     def begin(self) -> None:
-        self.mark.write(self.view.me.birth, life(self.view.me.incarnation))
-        self.host.offers.calls[b"/fleet"] = self.call
-        self.host.found["view"] = self
-        self.host.figures["view"] = self.figures
-        self._look()
-
-    def _look(self) -> None:
-        """Other settings are said; a newer process of this balancer speaks for it from its start on."""
-        self.timer = self.host.loop.call_later(LOOK, self._look)
+        self.identity.write(self.view.me.birth, life(self.view.me.incarnation))
+        self.host.offers.calls[b"/fleet"] = self.status
+        self.host.services["view"] = self
+        self.host.metrics["view"] = self.figures
+        self._poll()
+
+    def _poll(self) -> None:
+        """Announce changed settings, and stop gossiping once a newer process of this balancer has started."""
+        self.timer = self.host.loop.call_later(POLL_INTERVAL_S, self._poll)
         settings = self.host.driver.balancer.settings
         if settings is not self.settings:
             self.settings = settings
             self.port.facts(digest(settings))
-        if self.mark.path is not None and self.host.inherited:
-            birth, known = self.mark.read()
-            if birth == self.view.me.birth and known > life(self.view.me.incarnation):
+        if self.identity.path is not None and self.host.inherited:
+            birth, last_life = self.identity.read()
+            if birth == self.view.me.birth and last_life > life(self.view.me.incarnation):
                 log.info(
-                    "a newer process speaks for this balancer",
-                    extra={"event": "view.superseded", "fields": {"life": known}},
+                    "a newer process has taken over this balancer's membership",
+                    extra={"event": "view.superseded", "fields": {"life": last_life}},
                 )
                 self.superseded = True
                 self.close()
 
-    def call(self) -> bytes:
-        told = self.view.summary(self.host.clock.monotonic_ns())
-        more = {name: tell() for name, tell in self.more.items()}
-        return json.dumps({**told, "superseded": self.superseded, **more}, separators=(",", ":")).encode()
+    def status(self) -> bytes:
+        summary = self.view.summary(self.host.clock.monotonic_ns())
+        extra = {name: read() for name, read in self.extra_status.items()}
+        return json.dumps({**summary, "superseded": self.superseded, **extra}, separators=(",", ":")).encode()
 
     def figures(self) -> dict[str, Any]:
         view = self.view
@@ -163,7 +165,7 @@
             "dropped": sum(view.dropped.values()),
         }
 
-    def _tell(self, event: Event) -> None:
+    def _on_event(self, event: Event) -> None:
         view = self.view
         fields = {
             "settled": view.settled,
@@ -175,7 +177,7 @@
         if event.name:
             fields |= {"member": event.name, "state": event.state.name.lower()}
         log.log(
-            LOUD.get(event.kind, logging.INFO),
+            LOG_LEVELS.get(event.kind, logging.INFO),
             "view: %s %s",
             event.kind,
             event.name,
@@ -191,17 +193,17 @@
 
 
 async def start(options: Options, host: Host) -> Service:
-    """ConfigError where the configuration names no way to the others."""
+    """Raises ConfigError if the configuration names no address for peers, or no usable name."""
     peering = host.given.peering
     if peering is None:
-        raise ConfigError("[view] wants peer_listen and peers in the configuration")
+        raise ConfigError("[view] requires peer_listen and peers in the configuration")
     if not 0 < len(host.given.name.encode()) <= LONGEST_NAME:
-        raise ConfigError(f"[view] wants a name of 1 to {LONGEST_NAME} bytes in the configuration")
-    mark = Mark(os.environ.get("TMPDIR") if host.inherited else None)
+        raise ConfigError(f"[view] requires a name of 1 to {LONGEST_NAME} bytes in the configuration")
+    identity = IdentityFile(os.environ.get("TMPDIR") if host.inherited else None)
     rng = Random(f"view/{host.given.seed}/{host.clock.time_ns()}")
-    birth, known = mark.read()
+    birth, last_life = identity.read()
     birth = birth or rng.getrandbits(32) or 1
-    began = max(host.clock.time_ns() // 1_000_000, known + 1)
+    began = max(host.clock.time_ns() // 1_000_000, last_life + 1)
     number, peers = peering.number, peering.peers
     own = peering.listen if peering.listen in peers else None
     if number is None and own is not None:
@@ -216,7 +218,7 @@
         tier=len(peers),
         zone=host.given.settings.zone & 255,
         settings=digest(host.given.settings),
-        program=_program(),
+        program=_program_version(),
     )
     terms = Terms(
         int(options.period_s * 1e9),
@@ -226,9 +228,9 @@
         options.bytes_s,
     )
     view = View(terms, Seal(options.fleet, options.key.encode()), me, peers, own, peering.everybody, rng)
-    service = Service(host, view, mark)
+    service = Service(host, view, identity)
     try:
-        await service.port.open(peering.listen, _shared(peering.listen) if host.inherited else None)
+        await service.port.open(peering.listen, _shared_socket(peering.listen) if host.inherited else None)
     except OSError as exc:
         where = "%s:%d" % peering.listen
         raise ConfigError(f"cannot listen for peers at {where}: {exc}") from None
@@ -236,8 +238,8 @@
     return service
 
 
-def _shared(address: tuple[str, int]) -> Any:
-    """A port that the next version's process can have, too: the one that opened it last hears."""
+def _shared_socket(address: tuple[str, int]) -> Any:
+    """A UDP socket whose port the next process can bind too; the last to bind it receives the datagrams."""
     import socket
 
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/tests/node/test_agree.py
+++ b/tests/node/test_agree.py
@@ -1,4 +1,4 @@
-"""`[agree]` in the daemon: on loopback, what consoles answer, a disk, and off as if not there."""
+"""The feature `[agree]` in the daemon, on loopback: console calls, persistence, bad options, switched off."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Unlocked(MachineDisk):
-    """The machine's disk for one life after the other within a process."""
+    """The machine's disk without the lock, for one balancer after the other within this process."""
 
     def open(self, path: str) -> Files:
         return Directory(Path(path))
@@ -47,8 +47,8 @@
     return next(s for s in balancer.services if isinstance(s, feature.Service))
 
 
-async def asked(one: feature.Service, method: bytes, path: bytes, **body: Any) -> tuple[int, dict[str, Any]]:
-    """As the console asks; the answer comes once."""
+async def call(one: feature.Service, method: bytes, path: bytes, **body: Any) -> tuple[int, dict[str, Any]]:
+    """The answer to a console call."""
     got: asyncio.Future[tuple[int, dict[str, Any]]] = asyncio.get_running_loop().create_future()
     order = one.host.offers.orders[method, path]
     order(json.dumps(body).encode(), lambda status, text: got.set_result((status, json.loads(text))))
@@ -56,10 +56,10 @@
 
 
 async def propose(one: feature.Service, entry: str, expect: int, **more: Any) -> tuple[int, dict[str, Any]]:
-    return await asked(one, b"PUT", b"/agree/propose", entry=entry, expect=expect, **more)
+    return await call(one, b"PUT", b"/agree/propose", entry=entry, expect=expect, **more)
 
 
-def test_three_agree_and_each_says_so() -> None:
+def test_three_balancers_agree_and_report_the_same_history() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         peers = ports(3)
@@ -78,18 +78,22 @@
                 2,
                 id=every[2].changes() and json.loads(every[2].changes())["changes"][0]["id"],
             )
-            assert again[0] == 200 and again[1]["version"] == 3  # the same proposal, asked elsewhere
-            assert [await asked(s, b"GET", b"/agree/read") for s in every] == 3 * [
+            assert (
+                again[0] == 200 and again[1]["version"] == 3
+            )  # the same proposal, repeated at another balancer
+            assert [await call(s, b"GET", b"/agree/read") for s in every] == 3 * [
                 (200, {"version": 3, "entry": "change 2"})
             ]
             for one in every:
                 told = json.loads(one.host.offers.calls[b"/agree"]())
                 assert told.keys() >= KEYS and told["committed"] == 3 and told["voters"] == [0, 1, 2]
             assert len({json.loads(s.status())["digest"] for s in every}) == 1
-            assert (await asked(every[0], b"PUT", b"/agree/rescue"))[0] == 409  # it is well
-            assert (await asked(every[0], b"PUT", b"/agree/propose", entry=7))[0] == 400
+            assert (await call(every[0], b"PUT", b"/agree/rescue"))[0] == 409  # there is a majority
+            assert (await call(every[0], b"PUT", b"/agree/propose", entry=7))[0] == 400
             every[2].drain()
-            assert every[2].busy()  # a moment, for somebody to take its seat; here nobody is left to
+            assert every[
+                2
+            ].busy()  # waits a moment for another balancer to take over its seat; here there is none
             await until(lambda: not every[2].busy())
             for one in (*every, *(s for x in (a, b, c) for s in x.services if s not in every)):
                 one.close()
@@ -97,7 +101,7 @@
     run(main())
 
 
-def test_a_disk_brings_a_life_back_and_a_spoilt_one_another_birth(tmp_path: Path) -> None:
+def test_state_on_disk_survives_a_restart_and_a_corrupt_file_means_a_new_member(tmp_path: Path) -> None:
     births = []
     kept = replace(on(voters=1, folder=str(tmp_path)), disk=Unlocked())
 
@@ -116,11 +120,11 @@
     run(main(0))
     run(main(1))
     assert births[0] == births[1]
-    file = tmp_path / feature.FILE
+    file = tmp_path / feature.LOG_FILE
     data = bytearray(file.read_bytes())
     data[40] ^= 0xFF
     file.write_bytes(data)
-    run(main(0))  # alone, it begins a history anew, under another birth
+    run(main(0))  # the only voter founds a new history, as a new member
     assert births[2] != births[1]
 
 
@@ -133,14 +137,14 @@
         ("[agree]\nbeat = 1", "beat"),
     ],
 )
-def test_what_can_not_be_used_is_said_in_a_line(tmp_path: Path, text: str, said: str) -> None:
+def test_bad_options_are_reported_in_one_line(tmp_path: Path, text: str, said: str) -> None:
     path = tmp_path / "f.toml"
     path.write_text(text + "\n")
     with pytest.raises(ConfigError, match=said):
         features.load(str(path), True, None)
 
 
-def test_it_stands_on_the_view_and_off_it_is_not_imported(tmp_path: Path) -> None:
+def test_it_requires_the_view_and_is_not_imported_when_off(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     path.write_text("[agree]\n[view]\n")
     assert [module.__name__ for module, _ in features.load(str(path), True, None).parts] == [
@@ -153,7 +157,7 @@
     async def main() -> None:
         given = config.parse(configuration(("127.0.0.1", 1), None), True)
         host = Host(asyncio.get_running_loop(), SYSTEM, given, cast(Any, None), cast(Any, None))
-        with pytest.raises(ConfigError, match="wants"):
+        with pytest.raises(ConfigError, match=r"requires \[view\]"):
             await feature.start(feature.Options(), host)
 
     run(main())
--- a/tests/node/test_compiled.py
+++ b/tests/node/test_compiled.py
@@ -1,4 +1,4 @@
-"""The build leaves compiled modules: a start on a read-only file system would compile them all, each time."""
+"""The build compiles all modules: on a read-only file system each start would compile them again."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
-STARTED = "import dykeshift.node.__main__"
+START_CODE = "import dykeshift.node.__main__"
 
 
 def compile_step() -> list[str]:
-    """The arguments of the interpreter with which deploy/build compiles."""
+    """The interpreter arguments with which deploy/build compiles."""
     found = re.search(r"^\.venv/bin/python (-m compileall .*)$", (ROOT / "deploy/build").read_text(), re.M)
     assert found, "deploy/build compiles nothing"
     return found[1].split()
 
 
 def test_a_start_after_the_build_compiles_nothing(tmp_path: Path) -> None:
-    """Also where the files' times are others than at the build, as in a copy."""
+    """Also if the files' modification times differ from those at the build, as in a copy."""
     shutil.copytree(ROOT / "dykeshift", tmp_path / "dykeshift", ignore=shutil.ignore_patterns("__pycache__"))
     subprocess.run([sys.executable, *compile_step()], cwd=tmp_path, check=True)
     for file in (tmp_path / "dykeshift").rglob("*.py"):
         os.utime(file, (1, 1))
     done = subprocess.run(
-        [sys.executable, "-v", "-c", STARTED],
+        [sys.executable, "-v", "-c", START_CODE],
         cwd=tmp_path,
         env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1", "PYTHONPATH": str(tmp_path)},
         capture_output=True,
--- a/tests/node/test_logs.py
+++ b/tests/node/test_logs.py
@@ -1,4 +1,4 @@
-"""The structured log: the same calls, as objects for programs and lines for people."""
+"""The structured log: the same logging calls give JSON objects or text lines."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return made
 
 
-def test_a_record_is_an_object_with_event_and_fields() -> None:
+def test_json_format_has_event_and_fields() -> None:
     told = json.loads(formatter(lines=False).format(record(error=True)))
     assert told["event"] == "module.failed" and told["method"] == "on_list" and told["level"] == "error"
     assert told["message"] == "the module failed in on_list" and "RuntimeError: broken" in told["exception"]
@@ -38,12 +38,12 @@
     assert told["event"] == "asyncio" and told["message"] == "hello"
 
 
-def test_a_record_is_a_line_for_people() -> None:
+def test_text_format_is_one_line() -> None:
     line = formatter(lines=True).format(record())
     assert "the module failed in on_list" in line and "module.failed" in line and "\n" not in line
 
 
-def test_the_daemon_logs_as_its_section_says(tmp_path: Path) -> None:
+def test_the_daemon_logs_in_the_configured_format(tmp_path: Path) -> None:
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         address = probe.getsockname()
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -71,7 +71,7 @@
         ({"sockets": 256, "memory_mb": 32}, 46),
         ({"sockets": 1024, "memory_mb": 64}, 140),
         ({"sockets": 120, "memory_mb": 192}, 48),
-        ({"sockets": 64, "memory_mb": 192}, 20),  # 25 of each kind, and those at rest, were more than 64
+        ({"sockets": 64, "memory_mb": 192}, 20),  # 25 of each kind and the idle ones would exceed 64
         ({}, 409),
         ({"sockets": 16, "memory_mb": 8}, 4),
     ],
@@ -137,7 +137,7 @@
     return Caller(*await asyncio.open_connection("127.0.0.1", port))
 
 
-def test_sigterm_answers_all_that_was_taken_and_exits_0(tmp_path: Path) -> None:
+def test_sigterm_answers_every_accepted_request_and_exits_0(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with program(stub, tmp_path) as (process, port):
@@ -146,14 +146,16 @@
             busy.writer.write(request(rid="busy"))
             await until(lambda: len(stub.seen) == 1)
             process.send_signal(signal.SIGTERM)
-            assert await probe.reader.read() == b""  # kept, and between requests: closed
-            late = await call(port)  # still comes in, and is answered
+            assert await probe.reader.read() == b""  # keep-alive and idle: closed
+            late = await call(port)  # still accepted and answered
             assert "503" in (await late.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start
             stub.handler = says(answer(b"late"))
             late = await call(port)
             got = await late.ask(request("check", rid="late"))
             assert got.body == b"late" and got.headers["connection"] == "close"
-            got = await kept.ask(request("check", rid="kept"))  # its first request, on a connection taken
+            got = await kept.ask(
+                request("check", rid="kept")
+            )  # its first request, on a connection accepted before
             assert got.body == b"late" and got.headers["connection"] == "close"
             stub.writers[0].write(answer(b"at last"))
             got = await read_message(busy.reader)
@@ -163,7 +165,7 @@
     run(main())
 
 
-def test_sigterm_does_not_wait_for_a_request_that_never_comes_whole(tmp_path: Path) -> None:
+def test_sigterm_does_not_wait_for_an_incomplete_request(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with program(stub, tmp_path) as (process, port):
@@ -177,7 +179,7 @@
     run(main())
 
 
-def test_sigterm_with_nothing_to_do_exits_0(tmp_path: Path) -> None:
+def test_sigterm_with_nothing_in_flight_exits_0(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
         async with program(stub, tmp_path) as (process, _):
@@ -187,7 +189,7 @@
     run(main())
 
 
-# ---- a new configuration ----
+# ---- reload ----
 
 
 def move(folder: Path, registry: Registry, process: asyncio.subprocess.Process) -> None:
@@ -197,7 +199,7 @@
     process.send_signal(signal.SIGHUP)
 
 
-def test_sighup_moves_to_the_new_discovery_and_keeps_all_else(tmp_path: Path) -> None:
+def test_sighup_moves_to_the_new_discovery_and_keeps_everything_else(tmp_path: Path) -> None:
     async def main() -> None:
         stub, added = await Stub(silent).start(), await Stub(says(answer(b"added"))).start()
         second, third = await Registry().start(), await Registry().start()
@@ -206,10 +208,12 @@
             busy.writer.write(request(rid="busy"))
             await until(lambda: len(stub.seen) == 1)
             move(tmp_path, second, process)
-            await until(lambda: second.paths == ["/v1/endpoints"])  # whole: generations may not compare
-            move(tmp_path, third, process)  # while the first such call is open
+            await until(
+                lambda: second.paths == ["/v1/endpoints"]
+            )  # the full list: generations of two discoveries may not compare
+            move(tmp_path, third, process)  # while the first request of that kind is open
             await until(lambda: third.paths == ["/v1/endpoints"])
-            # Lower than the generation known before, and followed nevertheless.
+            # Lower than the generation known before, and used nevertheless.
             third.put(listing(0, True, instance("s0", stub.address), instance("s1", added.address)))
             await until(lambda: len(third.paths) == 2)
             assert third.paths[1].startswith("/v1/endpoints?from=0&")
--- a/tests/node/test_tally.py
+++ b/tests/node/test_tally.py
@@ -1,4 +1,4 @@
-"""Counting over a fleet: what the daemon writes, and what the tool adds up."""
+"""Counts of a fleet: the records that the daemon writes, and the tool that adds them up."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from benchmarks.tally import main
 from dykeshift.interface import Fail, Outcome, Refuse, Send, SetTimer
-from dykeshift.node.tally import Counted
+from dykeshift.node.tally import CountingBalancer
 from tests.harness import MS, World, entry, make_settings
 from tests.node.stubs import configuration
 from dykeshift.interface import ListKind
@@ -33,9 +33,9 @@
     )
 
 
-def test_every_event_and_action_is_counted_once_and_nothing_is_decided_otherwise() -> None:
+def test_every_event_and_action_is_counted_once_and_decisions_stay_the_same() -> None:
     plain, counted = World(make_settings(), 7), World(make_settings(), 7)
-    wrapper = Counted(counted.balancer)
+    wrapper = CountingBalancer(counted.balancer)
     counted.balancer = wrapper  # type: ignore[assignment]
     for world in (plain, counted):
         world.announce(ListKind.FULL, *(entry(n) for n in range(6)))
@@ -54,19 +54,19 @@
     assert ends == wrapper.counts["attempts"]
 
 
-def test_clients_that_go_and_watches_at_a_new_discovery_are_counted_too() -> None:
+def test_clients_that_leave_and_watches_after_a_move_of_discovery_are_counted() -> None:
     world = World(make_settings(ask_discovery=True), 7)
-    wrapper = Counted(world.balancer)
+    wrapper = CountingBalancer(world.balancer)
     world.balancer = wrapper  # type: ignore[assignment]
     world.announce(ListKind.FULL, *(entry(n) for n in range(6)))
     world.play(wrapper.on_client_gone(world.now, world.submit(2)))
     (asked,) = world.play(wrapper.on_discovery_moved(world.now))
-    assert isinstance(asked, SetTimer)  # spread, as all balancers move at once
+    assert isinstance(asked, SetTimer)  # delayed by a random time, as all balancers move at once
     world.play(wrapper.on_timer(asked.at, asked.token))
     assert wrapper.counts["gone"] == 1 and wrapper.counts["watches"] == 1
 
 
-def test_the_daemon_writes_what_the_tool_reads(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_tool_reads_what_the_daemon_writes(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path, features, log = tmp_path / "config.json", tmp_path / "lifttrail.toml", tmp_path / "n0.log"
     path.write_text(json.dumps(configuration(("127.0.0.1", 9))))
     features.write_text('[logs]\nform = "json"\n[tally]\nevery_s = 0.1\n')
@@ -79,7 +79,7 @@
     assert process.stderr is not None
     try:
         told = ""
-        while "list_failed" not in told:  # discovery refuses, and is asked again and again
+        while "list_failed" not in told:  # discovery refuses the connection, and is retried
             told = process.stderr.readline()
             assert told
         log.write_text(told)
@@ -92,7 +92,7 @@
     assert row["balancers"] == 1 and row["list_failed"] > 0
 
 
-def test_counts_are_added_up_by_period_and_told_for_each_first_try(
+def test_counts_are_summed_by_period_and_reported_per_first_try(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     logs = []
--- a/tests/node/test_versions.py
+++ b/tests/node/test_versions.py
@@ -1,5 +1,7 @@
-"""`[versions]` in the daemon, on loopback: settings and bans of the whole fleet, doubt, a file that differs;
-the gate between decision and send; off as if not there."""
+"""The feature `[versions]` in the daemon, on loopback.
+
+Settings and bans of the whole fleet, doubt, a differing file, the check before a send, and switched off.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +42,7 @@
     return next(s for s in balancer.services if isinstance(s, feature.Service))
 
 
-async def asked(one: feature.Service, path: str, body: Any = None) -> tuple[int, dict[str, Any]]:
+async def call(one: feature.Service, path: str, body: Any = None) -> tuple[int, dict[str, Any]]:
     got: asyncio.Future[tuple[int, dict[str, Any]]] = asyncio.get_running_loop().create_future()
     one.host.offers.orders[b"PUT", path.encode()](
         json.dumps(body or {}).encode(), lambda status, text: got.set_result((status, json.loads(text)))
@@ -48,8 +50,8 @@
     return await got
 
 
-def turned(**bounds: Any) -> dict[str, Any]:
-    """The settings with the safe class unsafe."""
+def made_unsafe(**bounds: Any) -> dict[str, Any]:
+    """The settings with the safe class `check` nodes unsafe."""
     return {
         **WORDS,
         "bounds": {**WORDS["bounds"], **bounds},
@@ -59,11 +61,11 @@
     }
 
 
-def acting(every: list[feature.Service], version: int) -> bool:
+def all_act_on(every: list[feature.Service], version: int) -> bool:
     return all(s.core.acts.mode == "in force" and s.core.acts.version == version for s in every)
 
 
-def made(stub: Stub, count: int, **options: Any) -> list[Any]:
+def nodes(stub: Stub, count: int, **options: Any) -> list[Any]:
     peers = ports(count)
     return [
         node(
@@ -79,33 +81,33 @@
     ]
 
 
-def test_settings_and_bans_of_one_are_those_of_all() -> None:
+def test_settings_proposed_at_one_balancer_take_effect_at_all() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
-        one, two, three = made(stub, 3)
+        one, two, three = nodes(stub, 3)
         async with one as a, two as b, three as c:
             every = [service(x) for x in (a, b, c)]
-            await until(lambda: acting(every, 0))
-            status, told = await asked(every[1], "/settings/propose", {"settings": turned(), "by": "op"})
+            await until(lambda: all_act_on(every, 0))
+            status, told = await call(every[1], "/settings/propose", {"settings": made_unsafe(), "by": "op"})
             assert (status, told["version"]) == (200, 1)
-            await until(lambda: acting(every, 1))
-            assert (await a.ask(request("check"))).start.split()[1] == "400"  # clients say POST by now
+            await until(lambda: all_act_on(every, 1))
+            assert (await a.ask(request("check"))).start.split()[1] == "400"  # an unsafe class needs POST
             assert (await a.ask(request("check", method="POST"))).start.split()[1] == "200"
             shown = json.loads(every[2].calls.status())
             assert shown["contradiction_s"] == 0.6 and shown["by"] == "op" and shown["pending"] is None
             assert json.loads(every[2].calls.history())["rules"][0]["version"] == 1
-            assert (await asked(every[2], "/settings/rollback", {"version": 9}))[0] == 409
-            assert (await asked(every[0], "/settings/propose", {"settings": {}}))[0] == 400
-            assert (await asked(every[0], "/settings/lists", {"closed": ["nothing"]}))[0] == 409
+            assert (await call(every[2], "/settings/rollback", {"version": 9}))[0] == 409
+            assert (await call(every[0], "/settings/propose", {"settings": {}}))[0] == 400
+            assert (await call(every[0], "/settings/lists", {"closed": ["nothing"]}))[0] == 409
 
-            assert (await asked(every[0], "/maintenance/enter", {"name": "s0"}))[0] == 409  # the last server
+            assert (await call(every[0], "/maintenance/enter", {"name": "s0"}))[0] == 409  # the last server
             for x in every:
                 x.close()
 
     run(main())
 
 
-def test_a_ban_at_one_is_obeyed_by_all_and_lifted_by_any() -> None:
+def test_a_ban_at_one_balancer_holds_at_all_and_any_can_lift_it() -> None:
     async def main() -> None:
         first, second = [await Stub(says(answer(body))).start() for body in (b"first", b"second")]
         peers = ports(2)
@@ -124,31 +126,33 @@
         )
         async with one as a, two as b:
             here, there = service(a), service(b)
-            await until(lambda: acting([here, there], 0))
-            status, told = await asked(here, "/maintenance/enter", {"name": "s0"})
+            await until(lambda: all_act_on([here, there], 0))
+            status, told = await call(here, "/maintenance/enter", {"name": "s0"})
             assert (status, told) == (200, {"here": True, "fleet": True})
-            assert (await asked(here, "/maintenance/enter", {"name": "s1"}))[0] == 409  # nobody would be left
-            assert (await asked(here, "/maintenance/enter", {"name": "s9"}))[0] == 404
+            assert (await call(here, "/maintenance/enter", {"name": "s1"}))[
+                0
+            ] == 409  # no server would be left
+            assert (await call(here, "/maintenance/enter", {"name": "s9"}))[0] == 404
             await until(lambda: "s0" in there.core.acts.out)
             for n in range(8):
                 assert (await b.ask(request(rid=f"r{n}"))).body == b"second"
-            status, _ = await asked(there, "/maintenance/exit", {"name": "s0"})
+            status, _ = await call(there, "/maintenance/exit", {"name": "s0"})
             assert status == 200
-            await until(lambda: not here.out and not there.out)
+            await until(lambda: not here.fleet_bans and not there.fleet_bans)
             assert not a.front.driver.balancer.banned and not b.front.driver.balancer.banned
-            assert (await asked(there, "/maintenance/exit", {"name": "s1"}))[0] == 200  # it never was out
-            assert (await asked(there, "/maintenance/exit", {"name": "s9"}))[0] == 404
-            for _ in range(3):  # at once, whether the other has heard of it by then or not
-                assert (await asked(here, "/maintenance/enter", {"name": "s0"}))[1]["fleet"]
-                assert (await asked(there, "/maintenance/exit", {"name": "s0"}))[0] == 200
-                await until(lambda: not here.out and not there.out)
+            assert (await call(there, "/maintenance/exit", {"name": "s1"}))[0] == 200  # it was never banned
+            assert (await call(there, "/maintenance/exit", {"name": "s9"}))[0] == 404
+            for _ in range(3):  # at once, whether the other knows of the ban by then or not
+                assert (await call(here, "/maintenance/enter", {"name": "s0"}))[1]["fleet"]
+                assert (await call(there, "/maintenance/exit", {"name": "s0"}))[0] == 200
+                await until(lambda: not here.fleet_bans and not there.fleet_bans)
             for x in (here, there):
                 x.close()
 
     run(main())
 
 
-def test_who_has_an_older_list_leaves_alone_what_a_newer_one_says_is_leaving() -> None:
+def test_a_balancer_with_an_older_list_avoids_servers_leaving_by_a_newer_one() -> None:
     async def main() -> None:
         some = [await Stub(says(answer(b"s%d" % n))).start() for n in range(4)]
 
@@ -172,12 +176,14 @@
         )
         async with one as a, two as b:
             here, there = service(a), service(b)
-            await until(lambda: acting([here, there], 0))
+            await until(lambda: all_act_on([here, there], 0))
             a.registry.put(listing(7, True, *rows(1)))
             await until(lambda: there.leaving == {number_of("s0")})
             assert {(await b.ask(request(rid=f"r{n}"))).body for n in range(24)} == {b"s1", b"s2", b"s3"}
             a.registry.put(listing(8, True, *rows(3)))
-            await until(lambda: there.core.lists.ignored > 0)  # three of four: said, and ignored
+            await until(
+                lambda: there.core.lists.ignored > 0
+            )  # three of four are too many: logged and ignored
             assert there.leaving == {number_of("s0")}
             for x in (here, there):
                 x.close()
@@ -185,29 +191,31 @@
     run(main())
 
 
-def test_alone_it_is_in_doubt_says_so_and_goes_on_by_the_operator_s_word() -> None:
+def test_without_a_majority_it_is_doubtful_until_an_operator_makes_it_the_only_voter() -> None:
     async def main() -> None:
         stub = await Stub(resets).start()
-        one, two, three = made(stub, 3)
+        one, two, three = nodes(stub, 3)
         async with one as a:
             async with two as b, three as c:
                 every = [service(x) for x in (a, b, c)]
-                await until(lambda: acting(every, 0))
+                await until(lambda: all_act_on(every, 0))
                 for x in (b, c):
                     for each in x.services:
                         each.close()
             here = every[0]
             await until(lambda: here.core.acts.doubtful)
-            assert a.front.is_ready()  # it has served: it goes on
-            told = json.loads(here.agree.view.call())
+            assert a.front.is_ready()  # it has served before, so it stays ready
+            told = json.loads(here.agree.view.status())
             assert told["rules"]["mode"] == "doubtful" and "majority" in told["rules"]["why"]
             assert a.front.driver.balancer.word.doubtful
-            assert (await a.ask(request("check"))).start.split()[1] == "500"  # it may have run
+            assert (await a.ask(request("check"))).start.split()[
+                1
+            ] == "500"  # not retried: the attempt may have been executed
             assert len(stub.seen) == 1
-            assert (await asked(here, "/maintenance/exit", {"name": "s0"}))[0] == 503  # it may be out
-            status, told = await asked(here, "/settings/propose", {"settings": turned()})
+            assert (await call(here, "/maintenance/exit", {"name": "s0"}))[0] == 503  # it may be banned
+            status, told = await call(here, "/settings/propose", {"settings": made_unsafe()})
             assert status in (409, 503) and told["reason"]
-            assert (await asked(here, "/settings/alone"))[0] == 200
+            assert (await call(here, "/settings/alone"))[0] == 200
             await until(lambda: here.core.acts.mode == "in force")
             for each in a.services:
                 each.close()
@@ -215,17 +223,19 @@
     run(main())
 
 
-def test_back_from_nothing_it_takes_no_clients_until_it_has_heard_or_is_alone() -> None:
+def test_after_a_start_without_state_it_is_not_ready_until_informed_or_alone() -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
-        one, two = made(stub, 2)
+        one, two = nodes(stub, 2)
         async with one as a:
             here = service(a)
-            here.began = here.now()
+            here.started_at = here.now()
             assert a.front.driver.ready and not a.front.is_ready()
-            here.began -= int(feature.START * 1e9)
-            assert a.front.is_ready() and here.core.acts.doubtful  # nobody else is there: it serves, in doubt
-            here.began = here.now()
+            here.started_at -= int(feature.STARTUP_WAIT_S * 1e9)
+            assert (
+                a.front.is_ready() and here.core.acts.doubtful
+            )  # no other balancer is reached: it serves, doubtful
+            here.started_at = here.now()
             async with two as b:
                 await until(a.front.is_ready)
                 assert not here.core.acts.doubtful
@@ -236,31 +246,32 @@
 
 
 @pytest.mark.parametrize("hup", ["refuse", "propose"])
-def test_a_file_that_differs_is_said_and_refused_or_proposed(hup: str) -> None:
+def test_a_differing_file_is_logged_and_refused_or_proposed(hup: str) -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
-        (one,) = made(stub, 1, hup=hup)
+        (one,) = nodes(stub, 1, hup=hup)
         async with one as a:
             here = service(a)
-            await until(lambda: acting([here], 0))
-            await asked(here, "/settings/propose", {"settings": turned()})
-            await until(lambda: acting([here], 1))
+            await until(lambda: all_act_on([here], 0))
+            await call(here, "/settings/propose", {"settings": made_unsafe()})
+            await until(lambda: all_act_on([here], 1))
             assert a.given.peering is not None
             a.given = replace(a.given, peering=replace(a.given.peering, settings=WORDS))
             a.reload()
-            assert here.core.acts.version == 1  # never two truths
+            assert here.core.acts.version == 1  # the agreed version stays in force
             ledger = a.front.driver.ledger
-            assert (ledger.reloads, ledger.reloads_failed) == (0, 1) and "differs" in here.differs
+            assert (ledger.reloads, ledger.reloads_failed) == (0, 1) and "differs" in here.file_difference
             if hup == "propose":
                 await until(
-                    lambda: acting([here], here.core.book.pages.rules.version)
+                    lambda: all_act_on([here], here.core.book.pages.rules.version)
                     and here.core.book.pages.rules.version > 1
                 )
             a.given = replace(
-                a.given, peering=replace(a.given.peering, settings=turned() if hup == "refuse" else WORDS)
+                a.given,
+                peering=replace(a.given.peering, settings=made_unsafe() if hup == "refuse" else WORDS),
             )
             a.reload()
-            assert ledger.reloads == 1 and here.differs == ""
+            assert ledger.reloads == 1 and here.file_difference == ""
             for each in a.services:
                 each.close()
 
@@ -268,7 +279,7 @@
 
 
 class Gate:
-    """Rules that are others from a given look on."""
+    """A send gate whose version changes after the given number of checks."""
 
     def __init__(self, changes: int) -> None:
         self.looks, self.changes = 0, changes
@@ -279,9 +290,8 @@
 
 
 @pytest.mark.parametrize("changes, outcome", [(9, Outcome.OK), (0, Outcome.NOT_SENT)])
-def test_what_was_decided_by_other_rules_is_not_sent(changes: int, outcome: Outcome) -> None:
-    """A process that is stopped between decision and send, while a connect comes up, wakes under other
-    rules."""
+def test_a_send_decided_under_an_older_version_is_not_made(changes: int, outcome: Outcome) -> None:
+    """A process paused between decision and send, while it connects, may wake under a newer version."""
 
     async def main() -> None:
         stub = await Stub(says(answer())).start()
@@ -302,13 +312,13 @@
         ("[versions]\nwords = 1", "words"),
     ],
 )
-def test_what_can_not_be_used_is_said_in_a_line(tmp_path: Path, text: str, said: str) -> None:
+def test_bad_options_are_reported_in_one_line(tmp_path: Path, text: str, said: str) -> None:
     path = tmp_path / "f.toml"
     path.write_text(text + "\n")
     with pytest.raises(ConfigError, match=said):
         features.load(str(path), True, None)
 
 
-def test_off_it_is_not_imported() -> None:
+def test_it_is_not_imported_when_off() -> None:
     code = "import sys, dykeshift.node.__main__; sys.exit(any('versions' in name for name in sys.modules))"
     assert subprocess.run([sys.executable, "-c", code]).returncode == 0
--- a/tests/node/test_view.py
+++ b/tests/node/test_view.py
@@ -1,4 +1,4 @@
-"""`[view]` in the daemon: two balancers on loopback, the console's answer, and off as if not there."""
+"""The feature `[view]` in the daemon: two balancers, its console call, bad options, switched off."""
 
 from __future__ import annotations
 
@@ -88,14 +88,14 @@
         ("datagrams_s = 1.0", "datagrams_s"),
     ],
 )
-def test_what_can_not_be_used_is_said_in_a_line(tmp_path: Path, section: str, said: str) -> None:
+def test_bad_options_are_reported_in_one_line(tmp_path: Path, section: str, said: str) -> None:
     path = tmp_path / "f.toml"
     path.write_text(f"[view]\n{section}\n")
     with pytest.raises(ConfigError, match=said):
         features.load(str(path), True, None)
 
 
-def test_a_bare_section_is_enough_and_off_it_is_not_imported(tmp_path: Path) -> None:
+def test_an_empty_section_switches_it_on_and_it_is_not_imported_when_off(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     path.write_text("[view]\n")
     assert features.load(str(path), True, None).peering()
@@ -103,7 +103,7 @@
     assert subprocess.run([sys.executable, "-c", code]).returncode == 0
 
 
-def test_no_way_to_the_others_is_said_in_a_line() -> None:
+def test_a_configuration_without_peers_is_an_error() -> None:
     async def main() -> None:
         given = config.parse(configuration(("127.0.0.1", 1), None), True)
         host = Host(asyncio.get_running_loop(), SYSTEM, given, cast(Any, None), cast(Any, None))
