--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -198,6 +198,7 @@
 
 
 def main(clock: Clock = SYSTEM) -> int:
+    """Read the configuration and serve; returns the exit code, 2 for a bad configuration."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s %(message)s")
     path = os.environ.get("NODE_CONFIG")
     try:
--- a/dykeshift/node/agree.py
+++ b/dykeshift/node/agree.py
@@ -63,6 +63,7 @@
 
 
 def check(options: Options, settings: Settings | None) -> None:
+    """Raises ValueError with one line of text for a bad combination of options."""
     if options.lease_s < 20 * options.beat_s:
         raise ValueError("lease_s is under 20 beats: no lease could be renewed in time")
     if options.replace_s < 20 * options.beat_s:
@@ -74,10 +75,11 @@
 class DiskWriter:
     """Writes the records to disk in a worker thread, outside the event loop."""
 
-    def __init__(self, host: Host, log: Log, lives: Callable[[], list[bytes]]) -> None:
-        self.worker, self.log, self.snapshot = host.disk.worker(host.loop), log, lives
+    def __init__(self, host: Host, log: Log, snapshot: Callable[[], list[bytes]]) -> None:
+        self.worker, self.log, self.snapshot = host.disk.worker(host.loop), log, snapshot
 
     def write(self, records: list[Record], done: Kept) -> None:
+        """Write the records; `done` gets whether they are durable. A large file is compacted instead."""
         payloads = [pack(record) for record in records]
         compacted = self.snapshot() if self.log.size > COMPACT_ABOVE_BYTES else None
 
@@ -101,6 +103,7 @@
         self.worker.run(work, on_done)
 
     def close(self) -> None:
+        """Finish the queued writes and close the file."""
         self.worker.close()
         self.log.close()
 
@@ -115,6 +118,7 @@
         self.disk_writer: DiskWriter | None = None
 
     def begin(self) -> None:
+        """Register with the view, the console and the other features, and start the timers."""
         host = self.host
         self.view.port.claims.append((is_ours, self.runner.take))
         self.view.watchers.append(self._update_members)
@@ -145,9 +149,11 @@
     # ---- console calls ----
 
     def summary(self) -> dict[str, Any]:
+        """The state of this member, by name."""
         return {"self": self.host.given.name, **self.core.summary(self.host.clock.monotonic_ns())}
 
     def status(self) -> bytes:
+        """The answer to `GET /agree`."""
         return _json(self.summary())
 
     def changes(self) -> bytes:
@@ -171,6 +177,7 @@
         return _json({"committed": shared.log.version_at(shared.commit), "changes": found})
 
     def propose(self, body: bytes, done: Callable[[int, bytes], None]) -> None:
+        """Handle `PUT /agree/propose`: 200 committed, 409 refused, 503 not known in time."""
         try:
             entry, expect, ident = _proposal(body)
         except ValueError as exc:
@@ -186,6 +193,8 @@
         self.runner.propose(entry, expect, int(CALL_TIMEOUT_S * 1e9), number, answered)
 
     def read(self, body: bytes, done: Callable[[int, bytes], None]) -> None:
+        """Handle `GET /agree/read`: the state as a majority confirms it, or 503."""
+
         def answered(version: int | None) -> None:
             if version is None:
                 done(503, _json({"reason": "no majority of the voters is in reach"}))
@@ -195,6 +204,7 @@
         self.runner.read(int(CALL_TIMEOUT_S * 1e9), answered)
 
     def rescue(self, body: bytes, done: Callable[[int, bytes], None]) -> None:
+        """Handle `PUT /agree/rescue`: replace the lost voters on an operator's request."""
         try:
             given = json.loads(body or b"{}")
             voters, force = given.get("voters"), given.get("force", False)
@@ -211,6 +221,7 @@
             done(200, self.status())
 
     def figures(self) -> dict[str, Any]:
+        """The metrics for `[tally]`."""
         summary = self.summary()
         names = ("role", "epoch", "term", "leader", "committed", "lease_s")
         return {
@@ -241,9 +252,11 @@
         self.runner.carry(self.core.retire(self.host.clock.monotonic_ns()))
 
     def busy(self) -> bool:
+        """Whether the seat or the leadership is still being handed over."""
         return self.core.handing_over(self.host.clock.monotonic_ns())
 
     def close(self) -> None:
+        """Stop the timers and close the log file."""
         self.runner.close()
         if self.disk_writer is not None:
             self.disk_writer.close()
--- a/dykeshift/node/book.py
+++ b/dykeshift/node/book.py
@@ -37,6 +37,7 @@
         self.service = service
 
     def register(self, offers: Offers) -> None:
+        """Add the calls to those that the console answers."""
         offers.calls.update(
             {b"/settings": self.status, b"/settings/rules": self.rules, b"/settings/history": self.history}
         )
@@ -69,6 +70,7 @@
         }
 
     def status(self) -> bytes:
+        """The answer to `GET /settings`."""
         service, pages = self.service, self.service.core.book.pages
         options = service.core.options
         shared = service.agree.core.shared
@@ -122,6 +124,7 @@
         }
 
     def rules(self) -> bytes:
+        """The answer to `GET /settings/rules`: settings in force, pending ones, and those of the own file."""
         pages = self.service.core.book.pages
         pending = pages.pending.rules if pages.pending is not None else None
         return _json(
@@ -133,6 +136,7 @@
         )
 
     def history(self) -> bytes:
+        """The answer to `GET /settings/history`."""
         pages = self.service.core.book.pages
         return _json(
             {
@@ -183,6 +187,7 @@
         )
 
     def figures(self) -> dict[str, Any]:
+        """The metrics for `[tally]`."""
         status = self.in_force()
         return {
             "mode": status["mode"],
--- a/dykeshift/node/desk.py
+++ b/dykeshift/node/desk.py
@@ -41,6 +41,7 @@
         self.together = together
 
     def figures(self) -> dict[str, Any]:
+        """The counts and gauges of `GET /status/metrics`."""
         ledger, balancer = self.driver.ledger, self.driver.balancer
         tiers = {
             name: {"success": tier.success, "busy": tier.busy, "failure": tier.failure}
@@ -57,18 +58,22 @@
         }
 
     def ask(self, path: bytes) -> bytes | None:
+        """A feature's answer to GET at this path; None if no feature has one."""
         call = self.offers.calls.get(path)
         return call() if call is not None else None
 
     def order(self, method: bytes, path: bytes) -> Order | None:
+        """A feature's asynchronous call; None if there is none."""
         return self.offers.orders.get((method, path))
 
     def enter(self, name: str) -> bool:
+        """Ban an upstream here and in the shared folder; False when it was never listed."""
         if self._known(name) and self.together is not None:
             self.together.enter(name)
         return self._log_done(self.driver.ban(number_of(name)), "banned", name)
 
     def exit(self, name: str) -> bool:
+        """Lift the ban of an upstream here and in the shared folder; False when it was never listed."""
         if self._known(name) and self.together is not None:
             self.together.exit(name)
         return self._log_done(self.driver.end_ban(number_of(name)), "back", name)
@@ -87,9 +92,11 @@
         return done
 
     def standby(self) -> None:
+        """Begin to drain."""
         log.info("standby requested by an operator", extra={"event": "drain.standby"})
         self.begin_standby()
 
     def active(self) -> bool:
+        """End the standby; False when the process is ending."""
         log.info("end of standby requested by an operator", extra={"event": "drain.active"})
         return self.drain.active()
--- a/dykeshift/node/features.py
+++ b/dykeshift/node/features.py
@@ -42,7 +42,8 @@
     def busy(self) -> bool:
         """Whether any accepted work is still unanswered."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Release everything; called once all requests are answered."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,6 +87,7 @@
         return next((carrier for carrier in found if carrier is not None), None)
 
     def objection(self) -> Objection | None:
+        """The check of requests that a feature adds, if any."""
         found = (module.objection(options) for module, options in self.parts)
         return next((objection for objection in found if objection is not None), None)
 
--- a/dykeshift/node/logs.py
+++ b/dykeshift/node/logs.py
@@ -27,11 +27,14 @@
 
 
 class Options(Struct, frozen=True, forbid_unknown_fields=True):
+    """The options of the section `[logs]`."""
+
     form: Literal["auto", "lines", "json"] = "auto"  # auto: lines on a terminal, JSON elsewhere
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 async def start(options: Options, host: Host) -> PassiveService:
+    """Replace the handlers of the root logger."""
     lines = sys.stderr.isatty() if options.form == "auto" else options.form == "lines"
     handler = logging.StreamHandler()
     handler.setFormatter(formatter(lines))
--- a/dykeshift/node/quiet.py
+++ b/dykeshift/node/quiet.py
@@ -18,12 +18,15 @@
 class PassiveService:
     """A service with nothing to drain and no work in flight."""
 
-    def drain(self) -> None: ...
+    def drain(self) -> None:
+        """Nothing to do."""
 
     def busy(self) -> bool:
+        """Always False: there is never work in flight."""
         return False
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Nothing to do."""
 
 
 def check(options: Any, settings: Settings | None) -> None:
@@ -31,12 +34,15 @@
 
 
 def carrier(options: Any, loop: asyncio.AbstractEventLoop, clock: Clock) -> Carrier | None:
+    """None: the feature does not set the upstreams' protocol."""
     return None
 
 
 def objection(options: Any) -> Objection | None:
+    """None: the feature does not check requests."""
     return None
 
 
 def connections(options: Any, given: config.Config) -> int:
+    """None of the client connections are reserved."""
     return 0
--- a/dykeshift/node/tally.py
+++ b/dykeshift/node/tally.py
@@ -26,6 +26,8 @@
 
 
 class Options(Struct, frozen=True, forbid_unknown_fields=True):
+    """The options of the section `[tally]`."""
+
     every_s: Annotated[float, Meta(ge=0.1, le=3600)] = 5.0
 
 
@@ -40,25 +42,31 @@
         return getattr(self.module, name)
 
     def on_request(self, now: int, request: Request) -> list[Action]:
+        """Count a request or a retry."""
         self.counts["retries" if request.retry else "requests"] += 1
         return self._count_actions(self.module.on_request(now, request))
 
     def on_attempt_end(self, now: int, end: AttemptEnd) -> list[Action]:
+        """Count the outcome of an attempt."""
         self.counts["end_" + end.outcome.name.lower()] += 1
         return self._count_actions(self.module.on_attempt_end(now, end))
 
     def on_list(self, now: int, update: ServerList) -> list[Action]:
+        """Count a list from discovery."""
         self.counts["list_" + update.kind.name.lower()] += 1
         return self._count_actions(self.module.on_list(now, update))
 
     def on_client_gone(self, now: int, request_id: str) -> list[Action]:
+        """Count a request that is over for its client."""
         self.counts["gone"] += 1  # the client left, or its deadline passed and the driver answered
         return self._count_actions(self.module.on_client_gone(now, request_id))
 
     def on_discovery_moved(self, now: int) -> list[Action]:
+        """Only the actions are counted."""
         return self._count_actions(self.module.on_discovery_moved(now))
 
     def on_timer(self, now: int, token: str) -> list[Action]:
+        """Only the actions are counted."""
         return self._count_actions(self.module.on_timer(now, token))
 
     def _count_actions(self, actions: list[Action]) -> list[Action]:
@@ -105,8 +113,10 @@
         self.timer = self.host.loop.call_later(self.every, self._write)
 
     def close(self) -> None:
+        """Stop the timer."""
         self.timer.cancel()
 
 
 async def start(options: Options, host: Host) -> Tally:
+    """Wrap the decision module and start the timer."""
     return Tally(host, options.every_s)
--- a/dykeshift/node/together.py
+++ b/dykeshift/node/together.py
@@ -56,6 +56,7 @@
         self._poll()
 
     def leave(self) -> None:
+        """Stop polling and withdraw the announcement that this process serves."""
         if self.timer is not None:
             self.timer.cancel()
         self.folder.withdraw()
@@ -70,6 +71,7 @@
             held.enter(name, self.clock.time_ns() // MS)
 
     def exit(self, name: str) -> None:
+        """Lift the ban of a server, with the same promise as `enter`."""
         with self.folder.change() as held:
             held.exit(name, self.clock.time_ns() // MS)
             if name in held.back:
--- a/dykeshift/node/versions.py
+++ b/dykeshift/node/versions.py
@@ -68,6 +68,7 @@
 
 
 def check(options: Options, settings: Settings | None) -> None:
+    """Raises ValueError with one line of text for a bad combination of options."""
     if options.stage_patience_s < options.stage_s:
         raise ValueError("stage_patience_s is under stage_s: no stage could ever succeed")
 
@@ -107,6 +108,7 @@
         self.calls = Calls(self)
 
     def begin(self) -> None:
+        """Register with the engine, the features and the console, and start the timer."""
         host = self.host
         host.driver.pool.gate = self
         host.driver.waits = self.waits
@@ -120,6 +122,7 @@
         self._tick()
 
     def now(self) -> int:
+        """Monotonic time in nanoseconds."""
         return self.host.clock.monotonic_ns()
 
     def waits(self) -> bool:
@@ -134,6 +137,7 @@
     # ---- the check before each send ----
 
     def look(self) -> int:
+        """Apply a changed state; returns the stamp that decisions are made and checked under."""
         stamp = self.core.look()
         if stamp != self.applied_stamp:
             self.applied_stamp = stamp
@@ -250,6 +254,7 @@
                 self.core.force.stamp += 1  # sends that were decided before are no longer made
 
     def sight(self) -> Sight:
+        """What this balancer observes and reports: servers, load, usual durations, membership."""
         driver, balancer = self.host.driver, self.host.driver.balancer
         tiers, classes = driver.ledger.tiers, live(balancer.settings)
         usual = {
@@ -292,6 +297,7 @@
         return False
 
     def close(self) -> None:
+        """Stop the timer."""
         if self.timer is not None:
             self.timer.cancel()
 
--- a/dykeshift/node/view.py
+++ b/dykeshift/node/view.py
@@ -52,6 +52,7 @@
 
 
 def check(options: Options, settings: Settings | None) -> None:
+    """Raises ValueError with one line of text for a bad combination of options."""
     if len(options.key.encode()) > 32:
         raise ValueError("key has more than 32 bytes")
     if options.lease_s < MIN_PERIODS_PER_LEASE * options.period_s:
@@ -96,6 +97,7 @@
             return 0, 0
 
     def write(self, birth: int, life_number: int) -> None:
+        """Replace the file atomically; a failure is logged."""
         if self.path is None:
             return
         draft = f"{self.path}.{os.getpid()}"
@@ -124,6 +126,7 @@
         self.extra_status: dict[str, Callable[[], Any]] = {}  # parts of `GET /fleet` from other features
 
     def begin(self) -> None:
+        """Register with the console and the other features, and start polling."""
         self.identity.write(self.view.me.birth, life(self.view.me.incarnation))
         self.host.offers.calls[b"/fleet"] = self.status
         self.host.services["view"] = self
@@ -148,11 +151,13 @@
                 self.close()
 
     def status(self) -> bytes:
+        """The answer to `GET /fleet`."""
         summary = self.view.summary(self.host.clock.monotonic_ns())
         extra = {name: read() for name, read in self.extra_status.items()}
         return json.dumps({**summary, "superseded": self.superseded, **extra}, separators=(",", ":")).encode()
 
     def figures(self) -> dict[str, Any]:
+        """The metrics for `[tally]`."""
         view = self.view
         return {
             "settled": view.settled,
@@ -187,6 +192,7 @@
             watcher()
 
     def close(self) -> None:
+        """Stop, and tell the others that this balancer leaves unless a newer process has taken over."""
         if self.timer is not None:
             self.timer.cancel()
         self.port.close(leave=not self.superseded)
