--- a/dykeshift/console/calls.py
+++ b/dykeshift/console/calls.py
@@ -102,10 +102,10 @@
 def name_of(body: bytes) -> str:
     """The upstream's name in a call's JSON body. Raises CallError 400 when there is none."""
     try:
-        given = json.loads(body)
+        fields = json.loads(body)
     except (ValueError, RecursionError):
         raise CallError(400, "the body is not JSON") from None
-    name = given.get("name") if isinstance(given, dict) else None
+    name = fields.get("name") if isinstance(fields, dict) else None
     if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME:
         raise CallError(400, 'the body must be an object with a "name" of 1 to 256 characters')
     return name
--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -45,7 +45,7 @@
 
 
 async def serve(
-    given: config.Config,
+    configuration: config.Config,
     load: Callable[[], config.Config],
     clock: Clock = SYSTEM,
     started: Callable[[Front, Any, Reload, list[Service]], None] | None = None,
@@ -55,39 +55,43 @@
 ) -> None:
     """Serve until a termination signal.
 
-    `inherited`: a listener that other processes of this balancer share, instead of `given.listen`. `beside`:
-    the features. `listen` opens listeners. Clients are accepted after everything else has started, so that no
-    client waits if a part of the start fails.
+    `inherited`: a listener that other processes of this balancer share, instead of `configuration.listen`.
+    `beside`: the features. `listen` opens listeners. Clients are accepted after everything else has started,
+    so that no client waits if a part of the start fails.
     """
     loop = asyncio.get_running_loop()
-    parts = assemble(loop, clock, given, load, beside)
+    parts = assemble(loop, clock, configuration, load, beside)
     driver = parts.driver
     drain = Drain(shared=inherited is not None)
     shutdown = Shutdown(loop, clock, drain, driver)
-    limit = given.connections - beside.connections(given)
-    front = Front(loop, clock, driver, parts.reader, limit, drain, given.kept)
+    limit = configuration.connections - beside.connections(configuration)
+    front = Front(loop, clock, driver, parts.reader, limit, drain, configuration.kept)
     loop.add_signal_handler(signal.SIGTERM, shutdown.terminate)
     loop.add_signal_handler(signal.SIGINT, shutdown.terminate)
     loop.add_signal_handler(signal.SIGHUP, parts.reload)
     together = join_process_group(loop, clock, driver, front) if inherited is not None else None
-    start_discovery(parts, given)
+    start_discovery(parts, configuration)
     if inherited is not None:
         await wait_for_first_list(driver, together, shutdown)
     offers = features.Offers()
     services = await beside.start(
-        loop, clock, given, driver, inherited is not None, offers, parts.reload, listen
+        loop, clock, configuration, driver, inherited is not None, offers, parts.reload, listen
     )
-    if given.console is not None:
-        services.append(await open_console(loop, clock, given, driver, shutdown, together, offers, listen))
+    if configuration.console is not None:
+        services.append(
+            await open_console(loop, clock, configuration, driver, shutdown, together, offers, listen)
+        )
     if shutdown.begun:  # terminated during its start: no client has been accepted yet
         await shutdown.close(front, services)
         return
     if together is not None:
         together.serve()
     try:
-        server = await listen(loop, front.connect, given.listen, BACKLOG, inherited)
+        server = await listen(loop, front.connect, configuration.listen, BACKLOG, inherited)
     except OSError as exc:
-        raise config.ConfigError(f"cannot listen on {given.listen[0]}:{given.listen[1]}: {exc}") from None
+        raise config.ConfigError(
+            f"cannot listen on {configuration.listen[0]}:{configuration.listen[1]}: {exc}"
+        ) from None
     try:
         if started is not None:
             started(front, server, parts.reload, services)
@@ -98,18 +102,18 @@
             together.leave()
 
 
-def start_discovery(parts: Assembly, given: config.Config) -> None:
+def start_discovery(parts: Assembly, configuration: config.Config) -> None:
     """Apply the known list of upstreams and begin to watch discovery."""
     parts.driver.start()
-    parts.discovery.take_known(given.known)
-    if not given.settings.ask_discovery:
+    parts.discovery.take_known(configuration.known)
+    if not configuration.settings.ask_discovery:
         parts.discovery.watch()
 
 
 async def open_console(
     loop: asyncio.AbstractEventLoop,
     clock: Clock,
-    given: config.Config,
+    configuration: config.Config,
     driver: Driver,
     shutdown: Shutdown,
     together: ProcessGroup | None,
@@ -120,11 +124,11 @@
     from dykeshift.console.shell import Console
     from dykeshift.node.desk import Desk
 
-    assert given.console is not None
+    assert configuration.console is not None
     desk = Desk(clock, driver, shutdown.drain, shutdown.standby, together, offers)
-    console = Console(loop, desk, given.callers)
+    console = Console(loop, desk, configuration.callers)
     try:
-        await console.listen(given.console, listen)
+        await console.listen(configuration.console, listen)
     except OSError as exc:
         raise config.ConfigError(f"cannot listen for operators: {exc}") from None
     return console
@@ -207,15 +211,17 @@
         # A SIGHUP would end the program; blocked, it stays pending until the handler is installed.
         signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
         load = partial(config.load, path, os.environ.get("NODE_CONSOLE"))
-        given = load()
+        configuration = load()
         own = os.environ.get("LIFTTRAIL_FEATURES")
-        chosen = features.load(own or features.FILE, own is not None, given.settings)
+        chosen = features.load(own or features.FILE, own is not None, configuration.settings)
         if chosen.peering():
             load = partial(load, peering=True)
-            given = load()
+            configuration = load()
         uvloop.run(
             run_as_program(
-                serve(given, load, clock, started=finish_startup, beside=chosen, inherited=inherited())
+                serve(
+                    configuration, load, clock, started=finish_startup, beside=chosen, inherited=inherited()
+                )
             )
         )
     except config.ConfigError as exc:
--- a/dykeshift/node/agree.py
+++ b/dykeshift/node/agree.py
@@ -150,7 +150,7 @@
 
     def summary(self) -> dict[str, Any]:
         """The state of this member, by name."""
-        return {"self": self.host.given.name, **self.core.summary(self.host.clock.monotonic_ns())}
+        return {"self": self.host.configuration.name, **self.core.summary(self.host.clock.monotonic_ns())}
 
     def status(self) -> bytes:
         """The answer to `GET /agree`."""
@@ -206,8 +206,8 @@
     def rescue(self, body: bytes, done: Callable[[int, bytes], None]) -> None:
         """Handle `PUT /agree/rescue`: replace the lost voters on an operator's request."""
         try:
-            given = json.loads(body or b"{}")
-            voters, force = given.get("voters"), given.get("force", False)
+            request = json.loads(body or b"{}")
+            voters, force = request.get("voters"), request.get("force", False)
             if not isinstance(force, bool) or voters is not None and voters not in (1, 3, 5, 7):
                 raise ValueError("voters must be 1, 3, 5 or 7, and force true or false")
         except (ValueError, AttributeError, RecursionError) as exc:
@@ -276,15 +276,15 @@
     Raises ValueError with one line of text.
     """
     try:
-        given = json.loads(body)
+        request = json.loads(body)
     except (ValueError, RecursionError):
         raise ValueError("the body is not JSON") from None
-    entry = given.get("entry") if isinstance(given, dict) else None
-    expect = given.get("expect") if isinstance(given, dict) else None
+    entry = request.get("entry") if isinstance(request, dict) else None
+    expect = request.get("expect") if isinstance(request, dict) else None
     is_version = isinstance(expect, int) and not isinstance(expect, bool) and 0 <= expect < 1 << 31
     if not isinstance(entry, str) or not isinstance(expect, int) or not is_version:
         raise ValueError('the body must be an object with "entry", a text, and "expect", a version')
-    ident = given.get("id")
+    ident = request.get("id")
     if ident is None:
         return entry.encode(), expect, None
     try:
@@ -299,7 +299,7 @@
 async def start(options: Options, host: Host) -> Service:
     """Raises ConfigError if `[view]` is off or the folder cannot be used."""
     view: View | None = host.services.get("view")
-    peering = host.given.peering
+    peering = host.configuration.peering
     if view is None or peering is None:
         raise ConfigError("[agree] requires [view]")
     terms = Terms(
@@ -314,7 +314,7 @@
     )
     number = None if view.view.me.number == NOBODY else view.view.me.number
     addresses = dict(enumerate(peering.peers)) if number is not None else {}
-    rng = Random(f"agree/{host.given.seed}/{host.clock.time_ns()}")
+    rng = Random(f"agree/{host.configuration.seed}/{host.clock.time_ns()}")
     file, saved = _open_log(options.folder, host) if options.folder else (None, None)
     machine = host.services.get("machine") or Latest()
     core = Agree(terms, view.view.seal, number, addresses, rng, machine, file is not None)
--- a/dykeshift/node/assembly.py
+++ b/dykeshift/node/assembly.py
@@ -30,22 +30,31 @@
 def assemble(
     loop: asyncio.AbstractEventLoop,
     clock: Clock,
-    given: config.Config,
+    configuration: config.Config,
     load: Callable[[], config.Config],
     beside: Features = NONE,
 ) -> Assembly:
     """Build the parts. `load` reads the configuration again; `beside`, the features, may set the protocol."""
     carrier = beside.carrier(loop, clock) or HttpCarrier(loop, clock)
-    pool = Pool(loop, clock, carrier, given.connections, given.connect_timeout, given.keepalive)
-    driver = Driver(loop, clock, Balancer(given.settings, given.seed), pool, lambda: discovery.watch())
+    pool = Pool(
+        loop,
+        clock,
+        carrier,
+        configuration.connections,
+        configuration.connect_timeout,
+        configuration.keepalive,
+    )
+    driver = Driver(
+        loop, clock, Balancer(configuration.settings, configuration.seed), pool, lambda: discovery.watch()
+    )
     discovery = Discovery(
         loop,
         clock,
-        given.discovery,
-        Reader(clock, given.zones, given.kinds),
+        configuration.discovery,
+        Reader(clock, configuration.zones, configuration.kinds),
         driver.apply,
         driver.discovery_failed,
-        not given.settings.ask_discovery,
+        not configuration.settings.ask_discovery,
     )
-    reader = requests.Reader(given.settings.classes, beside.objection())
+    reader = requests.Reader(configuration.settings.classes, beside.objection())
     return Assembly(driver, discovery, reader, Reload(load, discovery, driver, reader))
--- a/dykeshift/node/book.py
+++ b/dykeshift/node/book.py
@@ -77,7 +77,7 @@
         from dykeshift.node.versions import timing_bounds
 
         reply = {
-            "self": service.host.given.name,
+            "self": service.host.configuration.name,
             "number": service.core.number,
             **self.in_force(),
             "history": f"{shared.epoch[0]:08x}",
@@ -108,8 +108,8 @@
             return None
         own, pages = self.service.core.own, self.service.core.book.pages
         try:
-            held = own.read(pages.rules.settings)
-            changed = differences(held, own.read(pending.rules.settings))
+            current = own.read(pages.rules.settings)
+            changed = differences(current, own.read(pending.rules.settings))
         except SettingsError as exc:
             changed = [str(exc)]
         return {
@@ -202,10 +202,10 @@
     def _change_call(self, make: Callable[[Any], Change]) -> Callable[[bytes, Done], None]:
         def call(body: bytes, done: Done) -> None:
             try:
-                given = json.loads(body or b"{}")
-                if not isinstance(given, dict):
+                request = json.loads(body or b"{}")
+                if not isinstance(request, dict):
                     raise ValueError("the body must be an object")
-                change = make(given)
+                change = make(request)
             except (ValueError, RecursionError, msgspec.ValidationError, SettingsError) as exc:
                 done(400, _json({"reason": str(exc)}))
             except No as exc:
@@ -234,13 +234,13 @@
             pack(change), book.pages.version, int(CALL_TIMEOUT_S * 1e9), number, answered
         )
 
-    def _proposal(self, given: dict[str, Any]) -> Change:
-        raw = given.get("settings")
+    def _proposal(self, request: dict[str, Any]) -> Change:
+        raw = request.get("settings")
         if not isinstance(raw, dict):
             raise ValueError('the body must be an object with "settings", an object')
         text = share(raw)
         self.service.core.own.read(text)  # settings that are not valid are not proposed
-        stages = given.get("stages", [])
+        stages = request.get("stages", [])
         fleet_size = len(self.service.agree.core.shared.places)
         if not isinstance(stages, list) or any(
             not isinstance(g, list) or not g or any(type(n) is not int or not 0 <= n < fleet_size for n in g)
@@ -249,26 +249,28 @@
             raise ValueError(f"stages must be groups of balancer numbers, 0 to {fleet_size - 1}")
         return Propose(
             msgspec.Raw(text.encode()),
-            str(given.get("by", ""))[:200],
+            str(request.get("by", ""))[:200],
             tuple(tuple(g) for g in stages),
-            given.get("dry") is True,
+            request.get("dry") is True,
         )
 
-    def _rollback(self, given: dict[str, Any]) -> Change:
-        version = given.get("version")
+    def _rollback(self, request: dict[str, Any]) -> Change:
+        version = request.get("version")
         found = self.service.core.book.find(version) if isinstance(version, int) else None
         if found is None:
             raise No(f"version {version} is not among those that are kept")
-        return Propose(msgspec.Raw(found.settings.encode()), str(given.get("by", ""))[:200], of=found.version)
+        return Propose(
+            msgspec.Raw(found.settings.encode()), str(request.get("by", ""))[:200], of=found.version
+        )
 
-    def _halt(self, given: dict[str, Any]) -> Change:
+    def _halt(self, request: dict[str, Any]) -> Change:
         pending = self.service.core.book.pages.pending
         if pending is None:
             raise No("no change is pending")
-        return Halt(pending.rules.version, str(given.get("reason") or "by hand")[:200])
+        return Halt(pending.rules.version, str(request.get("reason") or "by hand")[:200])
 
-    def _lists(self, given: dict[str, Any]) -> Change:
-        change = msgspec.convert({"do": "lists", **given}, Lists)
+    def _lists(self, request: dict[str, Any]) -> Change:
+        change = msgspec.convert({"do": "lists", **request}, Lists)
         classes = set(live(self.service.core.acts.settings))
         unknown = sorted(set(change.closed or ()) - classes)
         if unknown:
@@ -331,7 +333,7 @@
             here = name in service.core.wanted or number_of(name) in service.host.driver.pool.banned
             if name in service.core.book.pages.out:
                 service.core.unban(name)
-                self._commit(Unban(name, service.host.given.name), done)
+                self._commit(Unban(name, service.host.configuration.name), done)
             elif version is None and not here:
                 done(503, _json({"reason": "no majority of the history's voters is in reach: it may be out"}))
             else:
--- a/dykeshift/node/features.py
+++ b/dykeshift/node/features.py
@@ -62,7 +62,7 @@
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
-    given: config.Config
+    configuration: config.Config
     driver: Driver
     disk: Disk
     listen: Listen = listen  # opens listeners
@@ -95,15 +95,15 @@
         """Whether any feature talks to other balancers."""
         return any(getattr(module, "PEERING", False) for module, _ in self.parts)
 
-    def connections(self, given: config.Config) -> int:
+    def connections(self, configuration: config.Config) -> int:
         """How many of the client connections the features reserve for their own clients."""
-        return sum(module.connections(options, given) for module, options in self.parts)
+        return sum(module.connections(options, configuration) for module, options in self.parts)
 
     async def start(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
-        given: config.Config,
+        configuration: config.Config,
         driver: Driver,
         inherited: bool = False,
         offers: Offers | None = None,
@@ -118,7 +118,7 @@
             from dykeshift.store.disk import MachineDisk
 
             disk = MachineDisk()
-        host = Host(loop, clock, given, driver, disk, listen, inherited, reload, offers or Offers())
+        host = Host(loop, clock, configuration, driver, disk, listen, inherited, reload, offers or Offers())
         for module, options in self.parts:
             if hasattr(module, "prepare"):
                 module.prepare(options, host)
@@ -130,14 +130,14 @@
 
 def load(path: str, required: bool, settings: Settings | None) -> Features:
     """Read and check the file, against `settings` if given. Raises ConfigError with one line of text."""
-    parts, given = [], features.read(path, required)
-    for name in given:
+    parts, sections = [], features.read(path, required)
+    for name in sections:
         if name not in SECTIONS:
             raise config.ConfigError(
                 f"feature file {path!r}: there is no feature [{name}]; there are " f"{', '.join(SECTIONS)}"
             )
-    for name in (n for n in SECTIONS if n in given):  # in the order in which one may depend on another
-        section = given[name]
+    for name in (n for n in SECTIONS if n in sections):  # in the order in which one may depend on another
+        section = sections[name]
         module = importlib.import_module(SECTIONS[name])
         options = features.convert(path, name, section, module.Options)
         try:
--- a/dykeshift/node/mllp.py
+++ b/dykeshift/node/mllp.py
@@ -128,9 +128,9 @@
     return MllpCarrier(loop, clock, options.max_frame_kb << 10)
 
 
-def connections(options: Options, given: Config) -> int:
+def connections(options: Options, configuration: Config) -> int:
     """How many MLLP clients may be connected: at most half of all client connections."""
-    return min(options.connections, given.connections // 2)
+    return min(options.connections, configuration.connections // 2)
 
 
 def objection(options: Options) -> Objection | None:
@@ -163,7 +163,7 @@
     """Open the listeners. Raises ConfigError if one of them, or the journal, cannot be used."""
     memory = Memory[Waiter](host.clock.time_ns(), bounds(options.memory), complete=bool(options.journal))
     journal = _journal(options.journal, host, memory) if options.journal else None
-    routes = mapping(options, host.given.settings)
+    routes = mapping(options, host.configuration.settings)
     host.driver.kept_places.update(rule.klass for rule in routes.rules.values())
     front = MllpFront(
         host.loop,
@@ -171,11 +171,11 @@
         host.driver,
         routes,
         memory,
-        host.given.name,
+        host.configuration.name,
         journal,
         options.pipelined,
         options.max_frame_kb << 10,
-        connections(options, host.given),
+        connections(options, host.configuration),
     )
     servers = list[Listening]()
     for text in options.listen:
--- a/dykeshift/node/quiet.py
+++ b/dykeshift/node/quiet.py
@@ -43,6 +43,6 @@
     return None
 
 
-def connections(options: Any, given: config.Config) -> int:
+def connections(options: Any, configuration: config.Config) -> int:
     """None of the client connections are reserved."""
     return 0
--- a/dykeshift/node/together.py
+++ b/dykeshift/node/together.py
@@ -65,17 +65,17 @@
 
     def enter(self, name: str) -> None:
         """Ban a server. On OSError the ban was not written, and nothing has changed."""
-        with self.folder.change() as held:
-            if name in held.back:
-                self.ended_bans[name] = held.back[name]
-            held.enter(name, self.clock.time_ns() // MS)
+        with self.folder.change() as stored:
+            if name in stored.back:
+                self.ended_bans[name] = stored.back[name]
+            stored.enter(name, self.clock.time_ns() // MS)
 
     def exit(self, name: str) -> None:
         """Lift the ban of a server, with the same promise as `enter`."""
-        with self.folder.change() as held:
-            held.exit(name, self.clock.time_ns() // MS)
-            if name in held.back:
-                self.ended_bans[name] = held.back[name]
+        with self.folder.change() as stored:
+            stored.exit(name, self.clock.time_ns() // MS)
+            if name in stored.back:
+                self.ended_bans[name] = stored.back[name]
 
     # ---- the other process ----
 
@@ -93,7 +93,7 @@
             return
         self.failing = False
         front, pool = self.front, self.driver.pool
-        shares = (max(1, most // (1 + others)) for most in self.full_limits)
+        shares = (max(1, limit // (1 + others)) for limit in self.full_limits)
         front.limit, pool.limit, front.budget.limit = shares
         front.drain.yielding = younger > 0
 
@@ -108,21 +108,21 @@
                 extra={"event": "handover.unread", "fields": {"reason": str(exc)}},
             )
 
-    def _apply_bans(self, held: Bans) -> None:
+    def _apply_bans(self, stored: Bans) -> None:
         """Apply new bans and ends of bans. Only an explicit end lifts a ban, not a lost or corrupt file.
 
         Wall clocks may have been stepped since the file was written: each ban and each end counts from now,
         so that a server is treated as cold for somewhat too long rather than too short.
         """
         now, banned = self.clock.monotonic_ns(), self.driver.balancer.banned
-        for name, ban in held.back.items():
+        for name, ban in stored.back.items():
             if self.ended_bans.get(name) == ban:
                 continue  # applied again, it would close the connections opened since
             self.ended_bans[name] = ban
-            if name not in held.out:
+            if name not in stored.out:
                 self._apply_ban(name, self.driver.ban, now)
                 self._apply_ban(name, self.driver.end_ban, now)
-        for name in held.out:
+        for name in stored.out:
             if number_of(name) not in banned:
                 self._apply_ban(name, self.driver.ban, now)
 
--- a/dykeshift/node/versions.py
+++ b/dykeshift/node/versions.py
@@ -287,13 +287,17 @@
         if same:
             self.file_difference = ""
             return True
-        held = self.core.book.pages.rules.version
+        version = self.core.book.pages.rules.version
         if self.options.hup == "propose" and raw is not None:
-            self.file_difference = f"the file differs from version {held}: proposed"
-            self._propose(Propose(msgspec.Raw(share(raw).encode()), by=f"file of {self.host.given.name}"))
+            self.file_difference = f"the file differs from version {version}: proposed"
+            self._propose(
+                Propose(msgspec.Raw(share(raw).encode()), by=f"file of {self.host.configuration.name}")
+            )
         else:
-            self.file_difference = f"the file differs from version {held}, which stays in force"
-        log.error("%s", self.file_difference, extra={"event": "versions.file", "fields": {"version": held}})
+            self.file_difference = f"the file differs from version {version}, which stays in force"
+        log.error(
+            "%s", self.file_difference, extra={"event": "versions.file", "fields": {"version": version}}
+        )
         return False
 
     def close(self) -> None:
@@ -305,13 +309,13 @@
 async def start(options: Options, host: Host) -> Service:
     """Raises ConfigError without `[agree]`, or if this balancer is not one of the numbered peers."""
     agree: Agree | None = host.services.get("agree")
-    if agree is None or host.given.peering is None or host.reload is None:
+    if agree is None or host.configuration.peering is None or host.reload is None:
         raise ConfigError("[versions] requires [agree]")
     view, shared = agree.view.view, agree.core.shared
     if view.me.number == NOBODY:
         raise ConfigError("[versions] requires this balancer to be one of its configured peers")
     try:
-        own = Own(host.given.peering.settings)
+        own = Own(host.configuration.peering.settings)
     except SettingsError as exc:
         raise ConfigError(f"[versions] {exc}") from None
     second = 1_000_000_000
@@ -337,7 +341,7 @@
         link,
         host.clock.monotonic_ns,
         lambda: service[0].sight(),
-        Random(f"versions/{host.given.seed}"),
+        Random(f"versions/{host.configuration.seed}"),
     )
     service.append(Service(options, host, agree, core))
     service[0].begin()
--- a/dykeshift/node/view.py
+++ b/dykeshift/node/view.py
@@ -200,13 +200,13 @@
 
 async def start(options: Options, host: Host) -> Service:
     """Raises ConfigError if the configuration names no address for peers, or no usable name."""
-    peering = host.given.peering
+    peering = host.configuration.peering
     if peering is None:
         raise ConfigError("[view] requires peer_listen and peers in the configuration")
-    if not 0 < len(host.given.name.encode()) <= LONGEST_NAME:
+    if not 0 < len(host.configuration.name.encode()) <= LONGEST_NAME:
         raise ConfigError(f"[view] requires a name of 1 to {LONGEST_NAME} bytes in the configuration")
     identity = IdentityFile(os.environ.get("TMPDIR") if host.inherited else None)
-    rng = Random(f"view/{host.given.seed}/{host.clock.time_ns()}")
+    rng = Random(f"view/{host.configuration.seed}/{host.clock.time_ns()}")
     birth, last_life = identity.read()
     birth = birth or rng.getrandbits(32) or 1
     began = max(host.clock.time_ns() // 1_000_000, last_life + 1)
@@ -217,13 +217,13 @@
     elif own is None and number is not None and number < len(peers):
         own = peers[number]
     me = Entry(
-        host.given.name,
+        host.configuration.name,
         began << WORD,
         birth,
         number=NOBODY if number is None else number,
         tier=len(peers),
-        zone=host.given.settings.zone & 255,
-        settings=digest(host.given.settings),
+        zone=host.configuration.settings.zone & 255,
+        settings=digest(host.configuration.settings),
         program=_program_version(),
     )
     terms = Terms(
--- a/tests/console/test_calls.py
+++ b/tests/console/test_calls.py
@@ -69,10 +69,10 @@
 
 @given(st.lists(CALLS, max_size=30))
 def test_every_call_has_one_answer_and_an_error_changes_nothing(
-    made: list[tuple[bytes, bytes, bytes]],
+    requests: list[tuple[bytes, bytes, bytes]],
 ) -> None:
     desk, out, draining = Desk(), set[str](), False
-    for method, target, body in made:
+    for method, target, body in requests:
         before = desk.state()
         got = calls.answer(desk, method, target, body)
         if got.status != 200:
--- a/tests/handover/test_bans.py
+++ b/tests/handover/test_bans.py
@@ -29,22 +29,22 @@
 def test_written_bans_are_read_back_and_match_a_simple_model(
     events: list[tuple[str, str, int]],
 ) -> None:
-    held, out, now = Bans(), dict[str, int](), 0
+    stored, out, now = Bans(), dict[str, int](), 0
     for event, name, wait in events:
         now += wait
         if event == "enter":
-            held.enter(name, now)
+            stored.enter(name, now)
             out.setdefault(name, now)
         else:
-            held.exit(name, now)
+            stored.exit(name, now)
             if name in out:
-                assert held.back[name] == (out.pop(name), now)
-        held = read(held.text())
-        assert held.out == out
+                assert stored.back[name] == (out.pop(name), now)
+        stored = read(stored.text())
+        assert stored.out == out
 
 
 @pytest.mark.parametrize(
-    ("text", "kept"),
+    ("text", "readable"),
     [
         ("", set()),
         ("{", set()),
@@ -57,20 +57,20 @@
         ('{"v":1,"out":["s0"],"back":{}}', set()),
     ],
 )
-def test_a_corrupt_text_is_reported_and_every_readable_ban_is_kept(text: str, kept: set[str]) -> None:
+def test_a_corrupt_text_is_reported_and_every_readable_ban_is_kept(text: str, readable: set[str]) -> None:
     with pytest.raises(BansFormatError) as caught:
         read(text)
-    assert set(caught.value.bans.out) == kept and "\n" not in str(caught.value)
+    assert set(caught.value.bans.out) == readable and "\n" not in str(caught.value)
 
 
 def test_two_processes_write_to_one_file_and_see_each_other_s_bans(tmp_path: Path) -> None:
     one, other = Folder(str(tmp_path)), Folder(str(tmp_path))
     assert one.read() == Bans() and not one.changed()
-    with one.change() as held:
-        held.enter("s0", 5)
+    with one.change() as stored:
+        stored.enter("s0", 5)
     assert not one.changed() and other.changed()
-    with other.change() as held:
-        held.enter("s1", 6)
+    with other.change() as stored:
+        stored.enter("s1", 6)
     assert other.read().out == {"s0": 5, "s1": 6} and one.changed()
     assert one.read().out == {"s0": 5, "s1": 6}
     assert not one.changed()
@@ -79,10 +79,10 @@
 
 def test_a_failed_write_leaves_the_file_as_it_was(tmp_path: Path) -> None:
     folder = Folder(str(tmp_path))
-    with folder.change() as held:
-        held.enter("s0", 5)
-    with pytest.raises(RuntimeError), folder.change() as held:
-        held.enter("s1", 6)
+    with folder.change() as stored:
+        stored.enter("s0", 5)
+    with pytest.raises(RuntimeError), folder.change() as stored:
+        stored.enter("s1", 6)
         raise RuntimeError
     assert json.loads((tmp_path / BANS).read_text())["out"] == {"s0": 5}
 
--- a/tests/handover/test_together.py
+++ b/tests/handover/test_together.py
@@ -36,11 +36,11 @@
             other.enter("s0")
             here.restore()
             assert set(banned) == {S0} and not balancer.front.driver.pool.upstreams[S0].open_to_new
-            for spoilt in (None, "", '{"v":1,"out":{},"back":{}}', '{"v":9,"out":[]}'):
-                if spoilt is None:
+            for content in (None, "", '{"v":1,"out":{},"back":{}}', '{"v":9,"out":[]}'):
+                if content is None:
                     (tmp_path / BANS).unlink()
                 else:
-                    (tmp_path / BANS).write_text(spoilt)
+                    (tmp_path / BANS).write_text(content)
                 here.restore()
                 assert set(banned) == {S0}  # a missing or corrupt file lifts no ban
             other.enter("s0")
@@ -48,17 +48,17 @@
             here.restore()
             assert not banned and balancer.front.driver.pool.upstreams[S0].open_to_new
             assert balancer.front.driver.balancer.servers[S0].entry.started > 0  # it comes back cold
-            told = list[int]()
+            banned_again = list[int]()
             ban, driver = balancer.front.driver.ban, balancer.front.driver
 
             def noted(number: int, at: int = 0) -> bool:
-                told.append(number)
+                banned_again.append(number)
                 return ban(number, at)
 
             monkeypatch.setattr(driver, "ban", noted)
             other.enter("s7")  # a change by the other process: the earlier end is not applied again
             here.restore()
-            assert told == [number_of("s7")]
+            assert banned_again == [number_of("s7")]
             other.enter("s0")
             here.restore()
             assert set(banned) == {S0, number_of("s7")}
@@ -71,17 +71,17 @@
         stub = await Stub(says(answer())).start()
         async with node(stub) as one, node(stub) as two:
             elder, younger = (group_of(balancer, Folder(str(tmp_path))) for balancer in (one, two))
-            whole = one.front.limit, one.front.driver.pool.limit, one.front.budget.limit
+            full = one.front.limit, one.front.driver.pool.limit, one.front.budget.limit
             elder.serve()
             younger.serve()
             elder._poll()
             for balancer in (one, two):
                 share = balancer.front.limit, balancer.front.driver.pool.limit, balancer.front.budget.limit
-                assert share == tuple(most // 2 for most in whole)
+                assert share == tuple(limit // 2 for limit in full)
             assert one.front.drain.yielding and not two.front.drain.yielding
             younger.leave()
             elder._poll()
-            assert one.front.budget.limit == whole[2] and not one.front.drain.yielding
+            assert one.front.budget.limit == full[2] and not one.front.drain.yielding
             elder.leave()
 
     run(main())
@@ -96,15 +96,15 @@
 def sent_to_cold_server(worlds: list[World]) -> int:
     """How many requests the cold one of ten servers gets in 12 s, with the balancers of `worlds` in turn."""
     sent = 0
-    for made in worlds:
-        made.announce(ListKind.FULL, *(entry(n) for n in range(9)), entry(9, started=made.now))
+    for world in worlds:
+        world.announce(ListKind.FULL, *(entry(n) for n in range(9)), entry(9, started=world.now))
     for n in range(2400):
-        made = worlds[n % len(worlds)]
-        rid = made.submit(n % 3)
+        world = worlds[n % len(worlds)]
+        rid = world.submit(n % 3)
         for one in worlds:
             one.advance(5 * MS)
-        sent += made.requests[rid].servers.count(9)
-        made.end_all(rid)
+        sent += world.requests[rid].servers.count(9)
+        world.end_all(rid)
     return sent
 
 
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -97,11 +97,11 @@
     known = listing(1, True, *(instance(f"s{n}", stub.address) for n, stub in enumerate(stubs)))
     registry.known = known
     with socket.create_server(("127.0.0.1", 0), backlog=128) as listener:
-        made = Site(folder, listener, registry, known)
+        platform = Site(folder, listener, registry, known)
         try:
-            yield made
+            yield platform
         finally:
-            for process in made.processes:
+            for process in platform.processes:
                 if process.returncode is None:
                     process.kill()
                     await process.wait()
@@ -110,31 +110,31 @@
 def test_every_request_is_answered_during_two_upgrades(tmp_path: Path) -> None:
     async def main() -> None:
         stubs = [await Stub(says(answer(b"done"))).start() for _ in range(4)]
-        async with site(tmp_path, *stubs) as made:
-            old, _ = await made.start()
+        async with site(tmp_path, *stubs) as platform:
+            old, _ = await platform.start()
             stop = asyncio.Event()
 
             async def client(number: int) -> tuple[int, int]:
-                asked, caller = 0, await made.open()
+                sent, caller = 0, await platform.open()
                 while not stop.is_set():
-                    asked += 1
-                    got = await caller.ask(request("check", rid=f"c{number}-{asked}"))
+                    sent += 1
+                    got = await caller.ask(request("check", rid=f"c{number}-{sent}"))
                     assert got.start.split()[1] in ("200", "503")
                     if got.headers.get("connection") == "close":
                         caller.writer.close()
-                        caller = await made.open()
+                        caller = await platform.open()
                 caller.writer.close()
-                return number, asked
+                return number, sent
 
             clients = [asyncio.create_task(client(n)) for n in range(6)]
             for _ in range(2):  # a second upgrade right after
-                new, _ = await made.start()
+                new, _ = await platform.start()
                 old.send_signal(signal.SIGTERM)
                 assert await old.wait() == 0
                 old = new
             stop.set()
-            asked = dict(await asyncio.gather(*clients))
-            assert all(count > 0 for count in asked.values())
+            sent = dict(await asyncio.gather(*clients))
+            assert all(count > 0 for count in sent.values())
             ids = [m.headers["x-request-id"] for stub in stubs for m in stub.seen]
             assert {rid.partition("-")[0] for rid in ids} == {f"c{n}" for n in range(6)}
 
@@ -144,12 +144,12 @@
 def test_the_old_process_answers_an_accepted_request_after_sigterm(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
-        async with site(tmp_path, stub) as made:
-            old, _ = await made.start()
-            busy, probe = await made.open(), await made.open()
+        async with site(tmp_path, stub) as platform:
+            old, _ = await platform.start()
+            busy, probe = await platform.open(), await platform.open()
             for caller in (busy, busy, probe, probe):  # a connection with two requests is kept alive longer
                 assert "200" in (await caller.ask(READY)).start
-            await made.start()
+            await platform.start()
             while "connection" not in (await probe.ask(READY)).headers:
                 pass  # until the old one has seen the new one
             busy.writer.write(request(rid="busy"))
@@ -169,30 +169,30 @@
     async def main() -> None:
         banned, other = [await Stub(says(answer(body))).start() for body in (b"banned", b"other")]
 
-        async def asked(made: Site, count: int) -> set[bytes]:
-            callers = [await made.open() for _ in range(20)]
+        async def answers_of(platform: Site, count: int) -> set[bytes]:
+            callers = [await platform.open() for _ in range(20)]
             return {(await c.ask(request("check", rid=f"{count}-{n}"))).body for n, c in enumerate(callers)}
 
-        async with site(tmp_path, banned, other) as made:
-            old, console = await made.start()
-            assert "200" in (await made.call(console, "PUT", "/maintenance/enter", "s0")).start
+        async with site(tmp_path, banned, other) as platform:
+            old, console = await platform.start()
+            assert "200" in (await platform.call(console, "PUT", "/maintenance/enter", "s0")).start
             assert set(json.loads((tmp_path / BANS).read_text())["out"]) == {"s0"}
-            new, second = await made.start()
-            assert await asked(made, 1) == {b"other"} and not banned.seen
+            new, second = await platform.start()
+            assert await answers_of(platform, 1) == {b"other"} and not banned.seen
             # Lifted and entered at the new process, applied by the old one.
-            assert "200" in (await made.call(second, "PUT", "/maintenance/exit", "s0")).start
-            assert "200" in (await made.call(second, "PUT", "/maintenance/enter", "s1")).start
-            while b'"hosts_down":1' not in (await made.call(console, "GET", "/status/metrics")).body:
+            assert "200" in (await platform.call(second, "PUT", "/maintenance/exit", "s0")).start
+            assert "200" in (await platform.call(second, "PUT", "/maintenance/enter", "s1")).start
+            while b'"hosts_down":1' not in (await platform.call(console, "GET", "/status/metrics")).body:
                 await asyncio.sleep(0.01)
             old.kill()
             await old.wait()
-            assert await made.call(second, "PUT", "/maintenance/enter", "s9") is not None
+            assert await platform.call(second, "PUT", "/maintenance/enter", "s9") is not None
             new.kill()
             await new.wait()
             (tmp_path / BANS).write_text('{"v":3,"out":{"s1":1},"back":{}}')  # written by another version
-            _, third = await made.start()
-            assert b'"hosts_down":1' in (await made.call(third, "GET", "/status/metrics")).body
-            assert b"other" not in await asked(made, 2)
+            _, third = await platform.start()
+            assert b'"hosts_down":1' in (await platform.call(third, "GET", "/status/metrics")).body
+            assert b"other" not in await answers_of(platform, 2)
 
     run(main())
 
@@ -200,19 +200,19 @@
 def test_if_the_new_process_dies_the_old_one_serves_on(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(says(answer(b"done"))).start()
-        async with site(tmp_path, stub) as made:
-            await made.start()
-            kept = await made.open()
+        async with site(tmp_path, stub) as platform:
+            await platform.start()
+            kept = await platform.open()
             for _ in range(2):
                 assert "connection" not in (await kept.ask(READY)).headers
-            new, _ = await made.start()
+            new, _ = await platform.start()
             while "connection" not in (await kept.ask(READY)).headers:
                 pass  # until the old one has seen the new one
             new.kill()
             await new.wait()
-            again = await made.open()
+            again = await platform.open()
             while "connection" in (await again.ask(READY)).headers:
-                again = await made.open()
+                again = await platform.open()
             assert (await again.ask(request("check", rid="last"))).body == b"done"
 
     run(main())
@@ -221,9 +221,9 @@
 def test_it_serves_without_a_folder_and_reports_a_bad_listener_in_one_line(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(says(answer(b"done"))).start()
-        async with site(tmp_path, stub) as made:
-            _, console = await made.start(TMPDIR="")
-            assert "200" in (await made.call(console, "PUT", "/maintenance/enter", "s0")).start
+        async with site(tmp_path, stub) as platform:
+            _, console = await platform.start(TMPDIR="")
+            assert "200" in (await platform.call(console, "PUT", "/maintenance/enter", "s0")).start
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
--- a/tests/node/test_agree.py
+++ b/tests/node/test_agree.py
@@ -63,15 +63,15 @@
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         peers = ports(3)
-        made = [node(stub, beside=on(), name=f"n{n}", peer_listen=peers[n], peers=peers) for n in range(3)]
-        async with made[0] as a, made[1] as b, made[2] as c:
+        nodes = [node(stub, beside=on(), name=f"n{n}", peer_listen=peers[n], peers=peers) for n in range(3)]
+        async with nodes[0] as a, nodes[1] as b, nodes[2] as c:
             every = [service(x) for x in (a, b, c)]
             await until(lambda: any(s.core.voter.settled() for s in every))
             for n, one in enumerate(every):
-                status, told = await propose(one, f"change {n}", n)
-                assert (status, told["version"]) == (200, n + 1)
-            status, told = await propose(every[1], "too late", 1)
-            assert status == 409 and "another change" in told["reason"]
+                status, reply = await propose(one, f"change {n}", n)
+                assert (status, reply["version"]) == (200, n + 1)
+            status, reply = await propose(every[1], "too late", 1)
+            assert status == 409 and "another change" in reply["reason"]
             again = await propose(
                 every[0],
                 "change 2",
@@ -85,8 +85,8 @@
                 (200, {"version": 3, "entry": "change 2"})
             ]
             for one in every:
-                told = json.loads(one.host.offers.calls[b"/agree"]())
-                assert told.keys() >= KEYS and told["committed"] == 3 and told["voters"] == [0, 1, 2]
+                reply = json.loads(one.host.offers.calls[b"/agree"]())
+                assert reply.keys() >= KEYS and reply["committed"] == 3 and reply["voters"] == [0, 1, 2]
             assert len({json.loads(s.status())["digest"] for s in every}) == 1
             assert (await call(every[0], b"PUT", b"/agree/rescue"))[0] == 409  # there is a majority
             assert (await call(every[0], b"PUT", b"/agree/propose", entry=7))[0] == 400
@@ -103,17 +103,17 @@
 
 def test_state_on_disk_survives_a_restart_and_a_corrupt_file_means_a_new_member(tmp_path: Path) -> None:
     births = []
-    kept = replace(on(voters=1, folder=str(tmp_path)), disk=Unlocked())
+    with_disk = replace(on(voters=1, folder=str(tmp_path)), disk=Unlocked())
 
     async def main(change: int) -> None:
         stub = await Stub(says(answer())).start()
         peers = ports(1)
-        async with node(stub, beside=kept, name="n", peer_listen=peers[0], peers=peers) as balancer:
+        async with node(stub, beside=with_disk, name="n", peer_listen=peers[0], peers=peers) as balancer:
             one = service(balancer)
             births.append(one.core.shared.birth)
             await until(lambda: one.core.voter.settled())
-            status, told = await propose(one, f"change {change}", change)
-            assert (status, told["version"]) == (200, change + 1), told
+            status, reply = await propose(one, f"change {change}", change)
+            assert (status, reply["version"]) == (200, change + 1), reply
             for each in balancer.services:
                 each.close()
 
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected",
     [
         ("[agree]\nlease_s = 1.0", "20 beats"),
         ("[agree]\nvoters = 4", "voters"),
@@ -137,10 +137,10 @@
         ("[agree]\nbeat = 1", "beat"),
     ],
 )
-def test_bad_options_are_reported_in_one_line(tmp_path: Path, text: str, said: str) -> None:
+def test_bad_options_are_reported_in_one_line(tmp_path: Path, text: str, expected: str) -> None:
     path = tmp_path / "f.toml"
     path.write_text(text + "\n")
-    with pytest.raises(ConfigError, match=said):
+    with pytest.raises(ConfigError, match=expected):
         features.load(str(path), True, None)
 
 
--- a/tests/node/test_carried_over.py
+++ b/tests/node/test_carried_over.py
@@ -93,8 +93,8 @@
 ) -> None:
     """Only processes with an inherited listener share a folder; otherwise $TMPDIR is empty at the start."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with Folder(str(tmp_path)).change() as held:
-        held.enter("s0", 5)
+    with Folder(str(tmp_path)).change() as stored:
+        stored.enter("s0", 5)
     before = sorted(tmp_path.iterdir())
 
     async def main() -> None:
@@ -110,10 +110,10 @@
 def test_bans_of_unknown_servers_affect_no_listed_server(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(says(answer())).start()
-        with Folder(str(tmp_path)).change() as held:
+        with Folder(str(tmp_path)).change() as stored:
             for name in ("x1", "x2"):
-                held.enter(name, 5)
-            held.exit("x2", 6)
+                stored.enter(name, 5)
+            stored.exit("x2", 6)
         async with node(stub) as balancer:
             front = balancer.front
             ProcessGroup(front.loop, front.clock, Folder(str(tmp_path)), front.driver, front).restore()
--- a/tests/node/test_logs.py
+++ b/tests/node/test_logs.py
@@ -17,25 +17,27 @@
 
 
 def record(error: bool = False) -> logging.LogRecord:
-    made = logging.LogRecord(
+    built = logging.LogRecord(
         "dykeshift.engine.driver", logging.ERROR, "x.py", 1, "the module failed in %s", ("on_list",), None
     )
-    made.event, made.fields = "module.failed", {"method": "on_list"}
+    built.event, built.fields = "module.failed", {"method": "on_list"}
     if error:
         try:
             raise RuntimeError("broken")
         except RuntimeError:
-            made.exc_info = sys.exc_info()
-    return made
+            built.exc_info = sys.exc_info()
+    return built
 
 
 def test_json_format_has_event_and_fields() -> None:
-    told = json.loads(formatter(lines=False).format(record(error=True)))
-    assert told["event"] == "module.failed" and told["method"] == "on_list" and told["level"] == "error"
-    assert told["message"] == "the module failed in on_list" and "RuntimeError: broken" in told["exception"]
+    logged = json.loads(formatter(lines=False).format(record(error=True)))
+    assert logged["event"] == "module.failed" and logged["method"] == "on_list" and logged["level"] == "error"
+    assert (
+        logged["message"] == "the module failed in on_list" and "RuntimeError: broken" in logged["exception"]
+    )
     plain = logging.LogRecord("asyncio", logging.INFO, "x.py", 1, "hello", (), None)
-    told = json.loads(formatter(lines=False).format(plain))
-    assert told["event"] == "asyncio" and told["message"] == "hello"
+    logged = json.loads(formatter(lines=False).format(plain))
+    assert logged["event"] == "asyncio" and logged["message"] == "hello"
 
 
 def test_text_format_is_one_line() -> None:
@@ -68,8 +70,8 @@
                 assert process.poll() is None
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
-        told = json.loads(process.stderr.readline())
-        assert told["event"] == "configuration.kept" and told["reason"] and told["level"] == "error"
+        logged = json.loads(process.stderr.readline())
+        assert logged["event"] == "configuration.kept" and logged["reason"] and logged["level"] == "error"
     finally:
         process.terminate()
         assert process.wait(30) == 0
--- a/tests/node/test_one_process.py
+++ b/tests/node/test_one_process.py
@@ -97,23 +97,23 @@
         check=False,
     )
     assert ended.returncode == 0, ended.stderr
-    told: dict[str, object] = json.loads(ended.stdout.splitlines()[-1])
-    return told
+    report: dict[str, object] = json.loads(ended.stdout.splitlines()[-1])
+    return report
 
 
 def test_the_daemon_starts_no_process_and_imports_no_optional_feature(tmp_path: Path) -> None:
-    told = run_daemon(tmp_path)
-    assert told["code"] == 0
-    assert told["seen"] == []
-    modules = told["modules"]
+    report = run_daemon(tmp_path)
+    assert report["code"] == 0
+    assert report["seen"] == []
+    modules = report["modules"]
     assert isinstance(modules, list) and "dykeshift.rules" in modules
     assert not [m for m in modules if m in OTHERS or any(m.startswith(o + ".") for o in OTHERS)]
 
 
 def test_a_daemon_that_starts_a_process_is_detected(tmp_path: Path) -> None:
     """Tests the check itself with a daemon that starts a program."""
-    told = run_daemon(tmp_path, "import subprocess; subprocess.run(['true'])")
-    assert "subprocess.Popen" in str(told["seen"])
+    report = run_daemon(tmp_path, "import subprocess; subprocess.run(['true'])")
+    assert "subprocess.Popen" in str(report["seen"])
 
 
 SOCKETS = {
@@ -123,17 +123,17 @@
 }  # the last: the event loop's own socket pair
 
 
-def unexpected_sockets(told: dict[str, object]) -> list[str]:
-    held = told["held"]
-    assert isinstance(held, list) and "AF_INET SOCK_STREAM" in held
-    return [link for link in held if link.startswith("AF_") and link not in SOCKETS]
+def unexpected_sockets(report: dict[str, object]) -> list[str]:
+    sockets = report["held"]
+    assert isinstance(sockets, list) and "AF_INET SOCK_STREAM" in sockets
+    return [link for link in sockets if link.startswith("AF_") and link not in SOCKETS]
 
 
 @pytest.mark.skipif(sys.platform != "linux", reason="asks /proc")
 def test_the_daemon_is_linked_dynamically_and_has_only_ipv4_tcp_and_udp_sockets(tmp_path: Path) -> None:
-    told = run_daemon(tmp_path)
-    assert unexpected_sockets(told) == []
-    libraries = told["libraries"]
+    report = run_daemon(tmp_path)
+    assert unexpected_sockets(report) == []
+    libraries = report["libraries"]
     assert isinstance(libraries, list) and any("libc" in Path(name).name for name in libraries)
 
 
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    ("limits", "most"),
+    ("limits", "expected"),
     [
         ({"sockets": 1024, "memory_mb": 192}, 409),
         ({"sockets": 256, "memory_mb": 192}, 102),
@@ -76,8 +76,8 @@
         ({"sockets": 16, "memory_mb": 8}, 4),
     ],
 )
-def test_connections_are_bounded_by_descriptors_and_memory(limits: dict[str, int], most: int) -> None:
-    assert config.parse({**configuration(("127.0.0.1", 9)), "limits": limits}).connections == most
+def test_connections_are_bounded_by_descriptors_and_memory(limits: dict[str, int], expected: int) -> None:
+    assert config.parse({**configuration(("127.0.0.1", 9)), "limits": limits}).connections == expected
 
 
 def test_no_configuration_is_one_line_and_exit_2() -> None:
--- a/tests/node/test_tally.py
+++ b/tests/node/test_tally.py
@@ -60,9 +60,9 @@
     world.balancer = wrapper  # type: ignore[assignment]
     world.announce(ListKind.FULL, *(entry(n) for n in range(6)))
     world.play(wrapper.on_client_gone(world.now, world.submit(2)))
-    (asked,) = world.play(wrapper.on_discovery_moved(world.now))
-    assert isinstance(asked, SetTimer)  # delayed by a random time, as all balancers move at once
-    world.play(wrapper.on_timer(asked.at, asked.token))
+    (timer,) = world.play(wrapper.on_discovery_moved(world.now))
+    assert isinstance(timer, SetTimer)  # delayed by a random time, as all balancers move at once
+    world.play(wrapper.on_timer(timer.at, timer.token))
     assert wrapper.counts["gone"] == 1 and wrapper.counts["watches"] == 1
 
 
@@ -78,11 +78,11 @@
     )
     assert process.stderr is not None
     try:
-        told = ""
-        while "list_failed" not in told:  # discovery refuses the connection, and is retried
-            told = process.stderr.readline()
-            assert told
-        log.write_text(told)
+        text = ""
+        while "list_failed" not in text:  # discovery refuses the connection, and is retried
+            text = process.stderr.readline()
+            assert text
+        log.write_text(text)
     finally:
         process.terminate()
         assert process.wait(30) == 0
--- a/tests/node/test_versions.py
+++ b/tests/node/test_versions.py
@@ -88,8 +88,8 @@
         async with one as a, two as b, three as c:
             every = [service(x) for x in (a, b, c)]
             await until(lambda: all_act_on(every, 0))
-            status, told = await call(every[1], "/settings/propose", {"settings": made_unsafe(), "by": "op"})
-            assert (status, told["version"]) == (200, 1)
+            status, reply = await call(every[1], "/settings/propose", {"settings": made_unsafe(), "by": "op"})
+            assert (status, reply["version"]) == (200, 1)
             await until(lambda: all_act_on(every, 1))
             assert (await a.ask(request("check"))).start.split()[1] == "400"  # an unsafe class needs POST
             assert (await a.ask(request("check", method="POST"))).start.split()[1] == "200"
@@ -127,8 +127,8 @@
         async with one as a, two as b:
             here, there = service(a), service(b)
             await until(lambda: all_act_on([here, there], 0))
-            status, told = await call(here, "/maintenance/enter", {"name": "s0"})
-            assert (status, told) == (200, {"here": True, "fleet": True})
+            status, reply = await call(here, "/maintenance/enter", {"name": "s0"})
+            assert (status, reply) == (200, {"here": True, "fleet": True})
             assert (await call(here, "/maintenance/enter", {"name": "s1"}))[
                 0
             ] == 409  # no server would be left
@@ -205,16 +205,16 @@
             here = every[0]
             await until(lambda: here.core.acts.doubtful)
             assert a.front.is_ready()  # it has served before, so it stays ready
-            told = json.loads(here.agree.view.status())
-            assert told["rules"]["mode"] == "doubtful" and "majority" in told["rules"]["why"]
+            reply = json.loads(here.agree.view.status())
+            assert reply["rules"]["mode"] == "doubtful" and "majority" in reply["rules"]["why"]
             assert a.front.driver.balancer.word.doubtful
             assert (await a.ask(request("check"))).start.split()[
                 1
             ] == "500"  # not retried: the attempt may have been executed
             assert len(stub.seen) == 1
             assert (await call(here, "/maintenance/exit", {"name": "s0"}))[0] == 503  # it may be banned
-            status, told = await call(here, "/settings/propose", {"settings": made_unsafe()})
-            assert status in (409, 503) and told["reason"]
+            status, reply = await call(here, "/settings/propose", {"settings": made_unsafe()})
+            assert status in (409, 503) and reply["reason"]
             assert (await call(here, "/settings/alone"))[0] == 200
             await until(lambda: here.core.acts.mode == "in force")
             for each in a.services:
@@ -305,17 +305,17 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected",
     [
         ("[versions]\nstage_s = 60.0\nstage_patience_s = 5.0", "no stage"),
         ("[versions]\nhup = 'ask'", "hup"),
         ("[versions]\nwords = 1", "words"),
     ],
 )
-def test_bad_options_are_reported_in_one_line(tmp_path: Path, text: str, said: str) -> None:
+def test_bad_options_are_reported_in_one_line(tmp_path: Path, text: str, expected: str) -> None:
     path = tmp_path / "f.toml"
     path.write_text(text + "\n")
-    with pytest.raises(ConfigError, match=said):
+    with pytest.raises(ConfigError, match=expected):
         features.load(str(path), True, None)
 
 
--- a/tests/node/test_view.py
+++ b/tests/node/test_view.py
@@ -38,11 +38,11 @@
 
 
 def ports(count: int) -> list[str]:
-    held = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for one in held:
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
+    for one in sockets:
         one.bind(("127.0.0.1", 0))
-    found = ["%s:%d" % one.getsockname() for one in held]
-    for one in held:
+    found = ["%s:%d" % one.getsockname() for one in sockets]
+    for one in sockets:
         one.close()
     return found
 
@@ -65,9 +65,9 @@
         async with a as first, b as second:
             one, two = service(first), service(second)
             await until(lambda: one.view.settled and one.view.standing.at_least == 2)
-            told = json.loads(one.host.offers.calls[b"/fleet"]())
-            assert told.keys() >= KEYS
-            assert [(m["name"], m["number"], m["state"]) for m in told["members"]] == [
+            reply = json.loads(one.host.offers.calls[b"/fleet"]())
+            assert reply.keys() >= KEYS
+            assert [(m["name"], m["number"], m["state"]) for m in reply["members"]] == [
                 ("a", 0, "alive"),
                 ("b", 1, "alive"),
             ]
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    "section, said",
+    "section, expected",
     [
         ("lease_s = 1.0\nperiod_s = 0.5", "lease_s is under 40 periods"),
         ("key = '" + "é" * 20 + "'", "32 bytes"),
@@ -88,10 +88,10 @@
         ("datagrams_s = 1.0", "datagrams_s"),
     ],
 )
-def test_bad_options_are_reported_in_one_line(tmp_path: Path, section: str, said: str) -> None:
+def test_bad_options_are_reported_in_one_line(tmp_path: Path, section: str, expected: str) -> None:
     path = tmp_path / "f.toml"
     path.write_text(f"[view]\n{section}\n")
-    with pytest.raises(ConfigError, match=said):
+    with pytest.raises(ConfigError, match=expected):
         features.load(str(path), True, None)
 
 
--- a/tests/store/test_log.py
+++ b/tests/store/test_log.py
@@ -29,12 +29,12 @@
 
 @given(PAYLOADS, st.data())
 def test_a_file_truncated_anywhere_is_read_up_to_the_cut(payloads: list[bytes], data: st.DataObject) -> None:
-    whole = image(payloads)
-    cut = data.draw(st.integers(0, len(whole)))
-    found = scan(whole[:cut], KIND)
+    content = image(payloads)
+    cut = data.draw(st.integers(0, len(content)))
+    found = scan(content[:cut], KIND)
     assert found.payloads == payloads[: len(found.payloads)] and not found.holes
     assert found.end + found.torn == cut or cut < FILE_HEAD
-    assert scan(whole[: found.end], KIND).payloads == found.payloads
+    assert scan(content[: found.end], KIND).payloads == found.payloads
 
 
 @given(st.lists(st.binary(min_size=4, max_size=30), min_size=3, max_size=6), st.data())
@@ -43,9 +43,9 @@
     corrupted = data.draw(st.integers(0, len(payloads) - 2))
     begin = len(image(payloads[:corrupted]))
     at = begin + data.draw(st.integers(0, len(encode(payloads[corrupted])) - 1))
-    whole = bytearray(image(payloads))
-    whole[at] ^= 0xFF
-    found = scan(bytes(whole), KIND)
+    content = bytearray(image(payloads))
+    content[at] ^= 0xFF
+    found = scan(bytes(content), KIND)
     assert found.payloads == payloads[:corrupted] + payloads[corrupted + 1 :]
     assert found.holes == [(begin, begin + len(encode(payloads[corrupted])))]
 
@@ -61,12 +61,12 @@
 
 
 @pytest.mark.parametrize(
-    ("head", "said"), [(b"GARBAGE!", "no log"), (b"LTLOG\x02t1", "version 2"), (b"LTLOG\x01zz", "b'zz'")]
+    ("head", "expected"), [(b"GARBAGE!", "no log"), (b"LTLOG\x02t1", "version 2"), (b"LTLOG\x01zz", "b'zz'")]
 )
-def test_a_foreign_file_or_a_newer_format_is_not_changed(head: bytes, said: str) -> None:
+def test_a_foreign_file_or_a_newer_format_is_not_changed(head: bytes, expected: str) -> None:
     disk = Disk()
     disk.seen["log"] = disk.kept["log"] = head + b"precious"
-    with pytest.raises(LogFormatError, match=said):
+    with pytest.raises(LogFormatError, match=expected):
         Log(disk, "log", KIND).open()
     assert disk.seen["log"] == head + b"precious"
 
