--- a/dykeshift/console/calls.py
+++ b/dykeshift/console/calls.py
@@ -1,4 +1,4 @@
-"""The console's calls and their answers, sans-I/O. A `Desk` carries them out.
+"""The console's calls and their answers, sans-I/O. A `ConsoleBackend` carries them out.
 
 Nothing changes unless the status is 200; every error is one line of plain text.
 """
@@ -15,19 +15,21 @@
 
 
 Done = Callable[[int, bytes], None]  # status and JSON text, once
-Order = Callable[[bytes, Done], None]  # the body of an asynchronous call, and the callback for its answer
+DeferredCall = Callable[
+    [bytes, Done], None
+]  # the body of an asynchronous call, and the callback for its answer
 
 
-class Desk(Protocol):
+class ConsoleBackend(Protocol):
     """Carries the calls out. On OSError nothing has changed."""
 
     def figures(self) -> dict[str, Any]:
         """All values of `GET /status/metrics`, by name, ready for JSON."""
 
-    def ask(self, path: bytes) -> bytes | None:
+    def immediate_answer(self, path: bytes) -> bytes | None:
         """A feature's answer to GET at this path, as JSON; None if no feature has one."""
 
-    def order(self, method: bytes, path: bytes) -> Order | None:
+    def deferred_call(self, method: bytes, path: bytes) -> DeferredCall | None:
         """A feature's asynchronous call; None if there is none."""
 
     def enter(self, name: str) -> bool:
@@ -61,36 +63,36 @@
     allow: bytes = b""
 
 
-def _status(desk: Desk, body: bytes) -> Answer:
+def _status(backend: ConsoleBackend, body: bytes) -> Answer:
     return _text_answer("serving")
 
 
-def _metrics(desk: Desk, body: bytes) -> Answer:
-    text = json.dumps(desk.figures(), separators=(",", ":"))
+def _metrics(backend: ConsoleBackend, body: bytes) -> Answer:
+    text = json.dumps(backend.figures(), separators=(",", ":"))
     return Answer(200, text.encode() + b"\n", b"application/json")
 
 
-def _enter(desk: Desk, body: bytes) -> Answer:
+def _enter(backend: ConsoleBackend, body: bytes) -> Answer:
     name = name_of(body)
-    if not desk.enter(name):
+    if not backend.enter(name):
         raise CallError(404, "no upstream of that name was ever listed")
     return _text_answer("out by hand")
 
 
-def _exit(desk: Desk, body: bytes) -> Answer:
+def _exit(backend: ConsoleBackend, body: bytes) -> Answer:
     name = name_of(body)
-    if not desk.exit(name):
+    if not backend.exit(name):
         raise CallError(404, "no upstream of that name was ever listed")
     return _text_answer("back")
 
 
-def _standby(desk: Desk, body: bytes) -> Answer:
-    desk.standby()
+def _standby(backend: ConsoleBackend, body: bytes) -> Answer:
+    backend.standby()
     return _text_answer("draining")
 
 
-def _active(desk: Desk, body: bytes) -> Answer:
-    if not desk.active():
+def _active(backend: ConsoleBackend, body: bytes) -> Answer:
+    if not backend.active():
         raise CallError(409, "the process is ending")
     return _text_answer("serving")
 
@@ -111,7 +113,7 @@
     return name
 
 
-Call = Callable[[Desk, bytes], Answer]
+Call = Callable[[ConsoleBackend, bytes], Answer]
 CALLS: dict[bytes, tuple[bytes, Call]] = {
     b"/status": (b"GET", _status),
     b"/status/metrics": (b"GET", _metrics),
@@ -122,35 +124,37 @@
 }
 
 
-def respond(desk: Desk, method: bytes, target: bytes, body: bytes, done: Callable[[Answer], None]) -> None:
+def respond(
+    backend: ConsoleBackend, method: bytes, target: bytes, body: bytes, done: Callable[[Answer], None]
+) -> None:
     """Handle one call: `done` is called once, at once or when the feature concerned has its answer."""
-    order = desk.order(method, target.partition(b"?")[0])
+    order = backend.deferred_call(method, target.partition(b"?")[0])
     if order is None:
-        done(answer(desk, method, target, body))
+        done(answer(backend, method, target, body))
     else:
         order(body, lambda status, text: done(Answer(status, text + b"\n", b"application/json")))
 
 
-def answer(desk: Desk, method: bytes, target: bytes, body: bytes) -> Answer:
+def answer(backend: ConsoleBackend, method: bytes, target: bytes, body: bytes) -> Answer:
     """Handle one call that is answered synchronously."""
     path = target.partition(b"?")[0]
     found = CALLS.get(path)
     if found is None:
-        return _feature(desk, method, path)
+        return _feature(backend, method, path)
     allowed, call = found
     if method != allowed:
         return Answer(405, b"the method of this call is " + allowed + b"\n", allow=allowed)
     try:
-        return call(desk, body)
+        return call(backend, body)
     except CallError as exc:
         return refusal(exc.status, str(exc))
     except OSError as exc:
         return refusal(500, f"it could not be written down, and nothing has changed: {exc.strerror}")
 
 
-def _feature(desk: Desk, method: bytes, path: bytes) -> Answer:
-    text = desk.ask(path)
-    allowed = next((m for m in (b"GET", b"PUT") if desk.order(m, path) is not None), b"")
+def _feature(backend: ConsoleBackend, method: bytes, path: bytes) -> Answer:
+    text = backend.immediate_answer(path)
+    allowed = next((m for m in (b"GET", b"PUT") if backend.deferred_call(m, path) is not None), b"")
     if text is None and allowed:
         return Answer(405, b"the method of this call is " + allowed + b"\n", allow=allowed)
     if text is None:
--- a/dykeshift/console/shell.py
+++ b/dykeshift/console/shell.py
@@ -9,7 +9,7 @@
 import httptools
 
 from dykeshift.console import calls
-from dykeshift.console.calls import Answer, Desk
+from dykeshift.console.calls import Answer, ConsoleBackend
 from dykeshift.engine.listener import Listen, Listening, listen
 from dykeshift.engine.http1 import Gatherer, Unacceptable, status_of
 
@@ -18,11 +18,11 @@
 
 
 class Console:
-    """Accepts operators' calls and hands each to the desk; `max_callers` may be connected at once."""
+    """Accepts operators' calls and hands each to the backend; `max_callers` may be connected at once."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, desk: Desk, max_callers: int) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, backend: ConsoleBackend, max_callers: int) -> None:
         """`max_callers` connections at once; their file descriptors are reserved."""
-        self.loop, self.desk, self.max_callers = loop, desk, max_callers
+        self.loop, self.backend, self.max_callers = loop, backend, max_callers
         self.callers: dict[Caller, None] = {}  # in the order of arrival
         self.server: Listening | None = None
 
@@ -133,7 +133,7 @@
     def _respond(self, method: bytes) -> None:
         """Answer at once, or later if a feature needs time; CALL_TIMEOUT_S bounds that as well."""
         self.dispatched = True
-        calls.respond(self.console.desk, method, self.target, bytes(self.body), self._answer)
+        calls.respond(self.console.backend, method, self.target, bytes(self.body), self._answer)
 
     def _answer(self, answer: Answer) -> None:
         if self.transport is None or self.answered:
--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -125,8 +125,8 @@
     from dykeshift.node.desk import Desk
 
     assert configuration.console is not None
-    desk = Desk(clock, driver, shutdown.drain, shutdown.standby, together, offers)
-    console = Console(loop, desk, configuration.callers)
+    backend = Desk(clock, driver, shutdown.drain, shutdown.standby, together, offers)
+    console = Console(loop, backend, configuration.callers)
     try:
         await console.listen(configuration.console, listen)
     except OSError as exc:
--- a/dykeshift/node/agree.py
+++ b/dykeshift/node/agree.py
@@ -17,7 +17,7 @@
 from dykeshift.agree.proposals import COMMITTED, REFUSED, Answer
 from dykeshift.agree.shell import Kept, Runner
 from dykeshift.agree.state import Event, Latest, Record
-from dykeshift.agree.state import Options as Terms
+from dykeshift.agree.state import Options as CoreOptions
 from dykeshift.agree.wire import is_ours
 from dykeshift.engine.config import ConfigError
 from dykeshift.interface import Settings
@@ -302,7 +302,7 @@
     peering = host.configuration.peering
     if view is None or peering is None:
         raise ConfigError("[agree] requires [view]")
-    terms = Terms(
+    core_options = CoreOptions(
         options.voters,
         int(options.beat_s * 1e9),
         int(options.lease_s * 1e9),
@@ -317,7 +317,7 @@
     rng = Random(f"agree/{host.configuration.seed}/{host.clock.time_ns()}")
     file, saved = _open_log(options.folder, host) if options.folder else (None, None)
     machine = host.services.get("machine") or Latest()
-    core = Agree(terms, view.view.seal, number, addresses, rng, machine, file is not None)
+    core = Agree(core_options, view.view.seal, number, addresses, rng, machine, file is not None)
     if saved is not None and known(saved):
         core.restore(saved)
     service = Service(host, view, core)
--- a/dykeshift/node/book.py
+++ b/dykeshift/node/book.py
@@ -30,7 +30,7 @@
 BAN_POLL_S = 0.02  # between two checks whether the ban is committed
 
 
-class Calls:
+class FleetCalls:
     """The calls of one process; they read and change what the fleet has agreed on."""
 
     def __init__(self, service: Service) -> None:
@@ -291,17 +291,21 @@
 
     def enter(self, body: bytes, done: Done) -> None:
         """Ban a server: here at once, at all others once it is committed; it is proposed again until then."""
-        service, desk, name = self.service, self.service.host.offers.desks[0], _upstream_name(body, done)
+        service, backend, name = (
+            self.service,
+            self.service.host.offers.backends[0],
+            _upstream_name(body, done),
+        )
         if not name:
             return
         out = {number_of(n) for n in service.core.book.pages.out}
         out |= service.host.driver.pool.banned
-        why = ban_objection(number_of(name), frozenset(out), service.sight())
+        why = ban_objection(number_of(name), frozenset(out), service.observe())
         known = name in service.core.book.pages.out
         try:
             if why and not known:
                 done(409, _json({"reason": why}))
-            elif not known and not desk.enter(name):
+            elif not known and not backend.enter(name):
                 done(404, _json({"reason": "no upstream of that name was ever listed"}))
             else:
                 if not known:
@@ -325,7 +329,11 @@
         Another balancer may have banned the server a moment ago: unless the ban is known here, a majority is
         asked before the answer.
         """
-        service, desk, name = self.service, self.service.host.offers.desks[0], _upstream_name(body, done)
+        service, backend, name = (
+            self.service,
+            self.service.host.offers.backends[0],
+            _upstream_name(body, done),
+        )
         if not name:
             return
 
@@ -338,7 +346,7 @@
                 done(503, _json({"reason": "no majority of the history's voters is in reach: it may be out"}))
             else:
                 service.core.unban(name)
-                back = desk.exit(name)
+                back = backend.exit(name)
                 done(
                     200 if back else 404,
                     _json(
--- a/dykeshift/node/desk.py
+++ b/dykeshift/node/desk.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from dykeshift.clock import Clock
-from dykeshift.console.calls import Order
+from dykeshift.console.calls import DeferredCall
 from dykeshift.engine.discovery import number_of
 from dykeshift.engine.drain import Drain
 from dykeshift.engine.driver import Driver
@@ -36,7 +36,7 @@
         `together` shares bans with another process of this balancer; they are written there first.
         """
         self.offers = offers
-        offers.desks.append(self)
+        offers.backends.append(self)
         self.clock, self.driver, self.drain, self.begin_standby = clock, driver, drain, standby
         self.together = together
 
@@ -57,12 +57,12 @@
             "reconfig_failed": ledger.reloads_failed,
         }
 
-    def ask(self, path: bytes) -> bytes | None:
+    def immediate_answer(self, path: bytes) -> bytes | None:
         """A feature's answer to GET at this path; None if no feature has one."""
         call = self.offers.calls.get(path)
         return call() if call is not None else None
 
-    def order(self, method: bytes, path: bytes) -> Order | None:
+    def deferred_call(self, method: bytes, path: bytes) -> DeferredCall | None:
         """A feature's asynchronous call; None if there is none."""
         return self.offers.orders.get((method, path))
 
--- a/dykeshift/node/features.py
+++ b/dykeshift/node/features.py
@@ -51,9 +51,9 @@
     """The console calls that features answer, by path: `calls` at once with JSON, `orders` asynchronously."""
 
     calls: dict[bytes, Callable[[], bytes]] = field(default_factory=dict)
-    # method and path: console.calls.Order
+    # method and path: console.calls.DeferredCall
     orders: dict[tuple[bytes, bytes], Any] = field(default_factory=dict)
-    desks: list[Any] = field(default_factory=list)  # the console's desk, once there is one
+    backends: list[Any] = field(default_factory=list)  # the console's backend, once there is one
 
 
 @dataclass(frozen=True, slots=True)
--- a/dykeshift/node/shutdown.py
+++ b/dykeshift/node/shutdown.py
@@ -29,7 +29,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, drain: Drain, driver: Driver) -> None:
         self.loop, self.clock, self.drain, self.driver = loop, clock, drain, driver
-        self.leaving = asyncio.Event()  # set while a drain has to be driven by `run`
+        self.drain_requested = asyncio.Event()  # set while a drain has to be driven by `run`
         self.services_draining = False
 
     @property
@@ -40,7 +40,7 @@
     def standby(self) -> None:
         """Drain clients until `Drain.active`; requested by an operator."""
         self.drain.standby(self.loop.time())
-        self.leaving.set()
+        self.drain_requested.set()
 
     def terminate(self) -> None:
         """Begin to terminate; a second signal changes nothing."""
@@ -48,7 +48,7 @@
             self.drain.terminate(self.loop.time())
             self.driver.terminate()
             self._log_begun()
-        self.leaving.set()
+        self.drain_requested.set()
 
     def _log_begun(self) -> None:
         termination = self.driver.termination
@@ -81,9 +81,9 @@
     async def run(self, front: Front, server: Listening, services: Sequence[Service]) -> None:
         """Wait until the process may end and nobody waits for an answer from it."""
         while self.drain.state is not State.OVER:
-            await self.leaving.wait()
+            await self.drain_requested.wait()
             await self._wind_down(front, server, services)
-            self.leaving.clear()
+            self.drain_requested.clear()
         self._log_end()
 
     async def _wind_down(self, front: Front, server: Listening, services: Sequence[Service]) -> None:
--- a/dykeshift/node/versions.py
+++ b/dykeshift/node/versions.py
@@ -14,14 +14,14 @@
 from dykeshift.engine.config import Config, ConfigError
 from dykeshift.engine.discovery import number_of
 from dykeshift.interface import Settings
-from dykeshift.node.book import Calls
+from dykeshift.node.book import FleetCalls
 from dykeshift.node.quiet import PassiveService, carrier, connections, objection
 from dykeshift.settings import SettingsError
 from dykeshift.versions.book import Book
 from dykeshift.versions.changes import Change, Propose, pack
 from dykeshift.versions.checks import Sight
 from dykeshift.versions.core import Versions
-from dykeshift.versions.core import Options as Terms
+from dykeshift.versions.core import Options as CoreOptions
 from dykeshift.versions.force import word
 from dykeshift.versions.link import Link
 from dykeshift.versions.own import Own, share
@@ -105,7 +105,7 @@
         # informed: has known, since its start, which version is in force
         self.started_at, self.informed = host.clock.monotonic_ns(), False
         self.file_difference = ""  # why the settings of this balancer's file are not in use
-        self.calls = Calls(self)
+        self.calls = FleetCalls(self)
 
     def begin(self) -> None:
         """Register with the engine, the features and the console, and start the timer."""
@@ -180,8 +180,8 @@
             driver.ban(number_of(name))
         for name in sorted(self.fleet_bans - wanted):
             self.fleet_bans.discard(name)
-            desks = self.host.offers.desks
-            if not desks or not desks[0].exit(name):
+            backends = self.host.offers.backends
+            if not backends or not backends[0].exit(name):
                 driver.end_ban(number_of(name))
 
     def _apply_word(self) -> None:
@@ -253,7 +253,7 @@
                 self.leaving = leaving
                 self.core.force.stamp += 1  # sends that were decided before are no longer made
 
-    def sight(self) -> Sight:
+    def observe(self) -> Sight:
         """What this balancer observes and reports: servers, load, usual durations, membership."""
         driver, balancer = self.host.driver, self.host.driver.balancer
         tiers, classes = driver.ledger.tiers, live(balancer.settings)
@@ -319,7 +319,7 @@
     except SettingsError as exc:
         raise ConfigError(f"[versions] {exc}") from None
     second = 1_000_000_000
-    terms = Terms(
+    core_options = CoreOptions(
         shared.options.lease,
         shared.options.drift,
         int(options.check_s * second),
@@ -333,14 +333,14 @@
     link = Link(agree.core, host.clock.monotonic_ns)
     service: list[Service] = []
     core = Versions(
-        terms,
+        core_options,
         own,
         host.services["machine"],
         view.me.number,
         view.me.birth,
         link,
         host.clock.monotonic_ns,
-        lambda: service[0].sight(),
+        lambda: service[0].observe(),
         Random(f"versions/{host.configuration.seed}"),
     )
     service.append(Service(options, host, agree, core))
--- a/dykeshift/node/view.py
+++ b/dykeshift/node/view.py
@@ -18,7 +18,7 @@
 from dykeshift.interface import Settings
 from dykeshift.node.quiet import PassiveService, carrier, connections, objection
 from dykeshift.view.core import Event, View
-from dykeshift.view.core import Options as Terms
+from dykeshift.view.core import Options as CoreOptions
 from dykeshift.view.shell import Port
 from dykeshift.view.table import WORD, life
 from dykeshift.view.wire import LONGEST_NAME, NOBODY, Entry, Seal
@@ -226,14 +226,16 @@
         settings=digest(host.configuration.settings),
         program=_program_version(),
     )
-    terms = Terms(
+    core_options = CoreOptions(
         int(options.period_s * 1e9),
         int(options.lease_s * 1e9),
         options.drift,
         options.datagrams_s,
         options.bytes_s,
     )
-    view = View(terms, Seal(options.fleet, options.key.encode()), me, peers, own, peering.everybody, rng)
+    view = View(
+        core_options, Seal(options.fleet, options.key.encode()), me, peers, own, peering.everybody, rng
+    )
     service = Service(host, view, identity)
     try:
         await service.port.open(peering.listen, _shared_socket(peering.listen) if host.inherited else None)
--- a/dykeshift/store/log.py
+++ b/dykeshift/store/log.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from dykeshift.store.files import Files, Handle
-from dykeshift.store.records import FILE_HEAD, Scan, encode, file_head, scan
+from dykeshift.store.records import FILE_HEADER_BYTES, Scan, encode, file_head, scan
 
 
 class LogError(Exception):
@@ -57,10 +57,10 @@
             data = self.files.read(self.name)
             found = scan(data, self.kind) if data is not None else Scan(end=0)
             self._handle = self.files.append(self.name, found.end)
-            if found.end < FILE_HEAD:
+            if found.end < FILE_HEADER_BYTES:
                 self._handle.write(file_head(self.kind))
                 self._handle.sync()
-                found.end = FILE_HEAD
+                found.end = FILE_HEADER_BYTES
         except OSError as exc:
             raise self._fail("cannot open", exc) from None
         self.size = found.end
--- a/dykeshift/store/records.py
+++ b/dykeshift/store/records.py
@@ -24,8 +24,8 @@
 VERSION = 1
 MARK = b"\xc5\x3a"
 MAX_PAYLOAD = 16 << 20
-_HEAD = struct.Struct("<2sII")
-FILE_HEAD = len(MAGIC) + 3
+_RECORD_HEADER = struct.Struct("<2sII")
+FILE_HEADER_BYTES = len(MAGIC) + 3
 
 
 class LogFormatError(Exception):
@@ -37,7 +37,7 @@
     """The content of a log file. Positions are in bytes from its start."""
 
     payloads: list[bytes] = field(default_factory=list)
-    end: int = FILE_HEAD  # end of the last valid record: where the next may be written
+    end: int = FILE_HEADER_BYTES  # end of the last valid record: where the next may be written
     torn: int = 0  # bytes after `end`: an incomplete record
     holes: list[tuple[int, int]] = field(default_factory=list)  # lost ranges: begin and end
 
@@ -53,7 +53,7 @@
     """One record with its header and checksum. Raises ValueError above `MAX_PAYLOAD` bytes."""
     if len(payload) > MAX_PAYLOAD:
         raise ValueError(f"a payload may have at most {MAX_PAYLOAD} bytes")
-    return _HEAD.pack(MARK, len(payload), _checksum(payload)) + payload
+    return _RECORD_HEADER.pack(MARK, len(payload), _checksum(payload)) + payload
 
 
 def _checksum(payload: bytes) -> int:
@@ -64,16 +64,16 @@
     """Read a whole file. Raises LogFormatError if it is no log of this kind and version."""
     found = Scan()
     head = file_head(kind)
-    if len(data) <= FILE_HEAD and data != head:
+    if len(data) <= FILE_HEADER_BYTES and data != head:
         found.end, found.torn = 0, len(data)  # damaged while it was created: it never had a record
         return found
     if data[: len(MAGIC)] != MAGIC:
         raise LogFormatError("it is no log file")
     if data[len(MAGIC)] != VERSION:
         raise LogFormatError(f"its format is version {data[len(MAGIC)]}, this program reads {VERSION}")
-    if data[len(MAGIC) + 1 : FILE_HEAD] != kind:
-        raise LogFormatError(f"it holds {data[len(MAGIC) + 1:FILE_HEAD]!r}, not {kind!r}")
-    at = FILE_HEAD
+    if data[len(MAGIC) + 1 : FILE_HEADER_BYTES] != kind:
+        raise LogFormatError(f"it holds {data[len(MAGIC) + 1:FILE_HEADER_BYTES]!r}, not {kind!r}")
+    at = FILE_HEADER_BYTES
     while at < len(data):
         payload = _record(data, at)
         if payload is None:
@@ -88,16 +88,16 @@
             at = following
             continue
         found.payloads.append(payload)
-        at += _HEAD.size + len(payload)
+        at += _RECORD_HEADER.size + len(payload)
         found.end = at
     return found
 
 
 def _record(data: bytes, at: int) -> bytes | None:
-    if at + _HEAD.size > len(data):
+    if at + _RECORD_HEADER.size > len(data):
         return None
-    mark, length, checksum = _HEAD.unpack_from(data, at)
-    begin = at + _HEAD.size
+    mark, length, checksum = _RECORD_HEADER.unpack_from(data, at)
+    begin = at + _RECORD_HEADER.size
     if mark != MARK or length > MAX_PAYLOAD or begin + length > len(data):
         return None
     payload = data[begin : begin + length]
@@ -106,10 +106,10 @@
 
 def _is_partial_record(data: bytes, at: int) -> bool:
     """Whether the data ends within a record that begins here."""
-    if at + _HEAD.size > len(data):
+    if at + _RECORD_HEADER.size > len(data):
         return MARK.startswith(data[at : at + len(MARK)])
-    mark, length, _ = _HEAD.unpack_from(data, at)
-    return bool(mark == MARK and length <= MAX_PAYLOAD and at + _HEAD.size + length > len(data))
+    mark, length, _ = _RECORD_HEADER.unpack_from(data, at)
+    return bool(mark == MARK and length <= MAX_PAYLOAD and at + _RECORD_HEADER.size + length > len(data))
 
 
 def _next_record(data: bytes, at: int) -> int | None:
--- a/tests/console/test_calls.py
+++ b/tests/console/test_calls.py
@@ -14,7 +14,7 @@
 KNOWN = ("s0", "s1", "ø")
 
 
-class Desk:
+class FakeBackend:
     def __init__(self) -> None:
         self.out: set[str] = set()
         self.draining = self.ending = False
@@ -22,10 +22,10 @@
     def figures(self) -> dict[str, Any]:
         return {"inflight": len(self.out)}
 
-    def ask(self, path: bytes) -> bytes | None:
+    def immediate_answer(self, path: bytes) -> bytes | None:
         return b'{"settled":true}' if path == b"/fleet" else None
 
-    def order(self, method: bytes, path: bytes) -> calls.Order | None:
+    def deferred_call(self, method: bytes, path: bytes) -> calls.DeferredCall | None:
         return (lambda body, done: done(409, body)) if (method, path) == (b"PUT", b"/agree/propose") else None
 
     def enter(self, name: str) -> bool:
@@ -71,18 +71,18 @@
 def test_every_call_has_one_answer_and_an_error_changes_nothing(
     requests: list[tuple[bytes, bytes, bytes]],
 ) -> None:
-    desk, out, draining = Desk(), set[str](), False
+    backend, out, draining = FakeBackend(), set[str](), False
     for method, target, body in requests:
-        before = desk.state()
-        got = calls.answer(desk, method, target, body)
+        before = backend.state()
+        got = calls.answer(backend, method, target, body)
         if got.status != 200:
-            assert desk.state() == before and got.body.count(b"\n") == 1 and got.status in (400, 404, 405)
+            assert backend.state() == before and got.body.count(b"\n") == 1 and got.status in (400, 404, 405)
             continue
         if target.startswith(b"/maintenance"):
             name = json.loads(body)["name"]
             (out.add if target.endswith(b"enter") else out.discard)(name)
         draining = target == b"/standby" or draining and target != b"/active"
-        assert desk.state() == (out, draining)
+        assert backend.state() == (out, draining)
 
 
 @pytest.mark.parametrize(
@@ -102,13 +102,13 @@
     ],
 )
 def test_statuses(method: bytes, target: bytes, body: bytes, status: int) -> None:
-    got = calls.answer(Desk(), method, target, body)
+    got = calls.answer(FakeBackend(), method, target, body)
     assert got.status == status
     assert (got.allow != b"") == (status == 405)
 
 
 def test_a_ban_that_cannot_be_written_is_an_error() -> None:
-    class Full(Desk):
+    class Full(FakeBackend):
         def enter(self, name: str) -> bool:
             raise OSError(28, "No space left on device")
 
@@ -117,19 +117,19 @@
 
 
 def test_an_ending_process_cannot_leave_standby() -> None:
-    desk = Desk()
-    desk.ending = True
-    assert calls.answer(desk, b"PUT", b"/active", b"").status == 409
+    backend = FakeBackend()
+    backend.ending = True
+    assert calls.answer(backend, b"PUT", b"/active", b"").status == 409
 
 
 def test_calls_of_features_that_are_on_and_off() -> None:
-    desk = Desk()
-    assert calls.answer(desk, b"GET", b"/fleet?x=1", b"").body == b'{"settled":true}\n'
-    assert calls.answer(desk, b"PUT", b"/fleet", b"").status == 405
-    off = calls.answer(desk, b"GET", b"/agree", b"")
+    backend = FakeBackend()
+    assert calls.answer(backend, b"GET", b"/fleet?x=1", b"").body == b'{"settled":true}\n'
+    assert calls.answer(backend, b"PUT", b"/fleet", b"").status == 405
+    off = calls.answer(backend, b"GET", b"/agree", b"")
     assert off.status == 404 and off.body.count(b"\n") == 1
-    assert calls.answer(desk, b"GET", b"/agree/propose", b"").allow == b"PUT"
+    assert calls.answer(backend, b"GET", b"/agree/propose", b"").allow == b"PUT"
     got: list[calls.Answer] = []
-    calls.respond(desk, b"PUT", b"/agree/propose", b"{}", got.append)
-    calls.respond(desk, b"GET", b"/status", b"", got.append)
+    calls.respond(backend, b"PUT", b"/agree/propose", b"{}", got.append)
+    calls.respond(backend, b"GET", b"/status", b"", got.append)
     assert [(a.status, a.body) for a in got] == [(409, b"{}\n"), (200, b"serving\n")]
--- a/tests/store/test_log.py
+++ b/tests/store/test_log.py
@@ -11,7 +11,7 @@
 from dykeshift.standins.disk import Disk
 from dykeshift.store.files import Directory
 from dykeshift.store.log import Log, LogError
-from dykeshift.store.records import FILE_HEAD, MARK, LogFormatError, encode, file_head, scan
+from dykeshift.store.records import FILE_HEADER_BYTES, MARK, LogFormatError, encode, file_head, scan
 
 KIND = b"t1"
 PAYLOADS = st.lists(st.binary(max_size=40), max_size=8)
@@ -33,7 +33,7 @@
     cut = data.draw(st.integers(0, len(content)))
     found = scan(content[:cut], KIND)
     assert found.payloads == payloads[: len(found.payloads)] and not found.holes
-    assert found.end + found.torn == cut or cut < FILE_HEAD
+    assert found.end + found.torn == cut or cut < FILE_HEADER_BYTES
     assert scan(content[: found.end], KIND).payloads == found.payloads
 
 
@@ -57,7 +57,7 @@
             found = scan(text, KIND)
         except LogFormatError:
             continue
-        assert found.end <= len(text) or found.end == FILE_HEAD
+        assert found.end <= len(text) or found.end == FILE_HEADER_BYTES
 
 
 @pytest.mark.parametrize(
@@ -175,7 +175,7 @@
             committed, pending = found, []
 
 
-@given(st.binary(max_size=FILE_HEAD))
+@given(st.binary(max_size=FILE_HEADER_BYTES))
 def test_a_file_with_a_damaged_header_and_no_records_is_started_again(head: bytes) -> None:
     disk = Disk()
     disk.seen["log"] = disk.kept["log"] = head
