--- a/tests/handover/test_bans.py
+++ b/tests/handover/test_bans.py
@@ -116,8 +116,7 @@
         other.kill()
         other.communicate()
         assert folder.others() == ((1, 1), (0, 0))[n]
-    assert (
-        len([name for name in tmp_path.iterdir() if "serving" in name.name]) == 1
-    )  # files of killed processes are removed
+    # files of killed processes are removed
+    assert len([name for name in tmp_path.iterdir() if "serving" in name.name]) == 1
     folder.withdraw()
     assert Folder(str(tmp_path)).others() == (0, 0)
--- a/tests/node/test_agree.py
+++ b/tests/node/test_agree.py
@@ -78,9 +78,8 @@
                 2,
                 id=every[2].changes() and json.loads(every[2].changes())["changes"][0]["id"],
             )
-            assert (
-                again[0] == 200 and again[1]["version"] == 3
-            )  # the same proposal, repeated at another balancer
+            # the same proposal, repeated at another balancer
+            assert again[0] == 200 and again[1]["version"] == 3
             assert [await call(s, b"GET", b"/agree/read") for s in every] == 3 * [
                 (200, {"version": 3, "entry": "change 2"})
             ]
@@ -91,9 +90,8 @@
             assert (await call(every[0], b"PUT", b"/agree/rescue"))[0] == 409  # there is a majority
             assert (await call(every[0], b"PUT", b"/agree/propose", entry=7))[0] == 400
             every[2].drain()
-            assert every[
-                2
-            ].busy()  # waits a moment for another balancer to take over its seat; here there is none
+            # waits a moment for another balancer to take over its seat; here there is none
+            assert every[2].busy()
             await until(lambda: not every[2].busy())
             for one in (*every, *(s for x in (a, b, c) for s in x.services if s not in every)):
                 one.close()
--- a/tests/node/test_carried_over.py
+++ b/tests/node/test_carried_over.py
@@ -26,9 +26,8 @@
         async with node(here, known=listing(900, True, elsewhere("x9", there))) as balancer:
             assert (await balancer.ask(request(rid="r0"))).body == b"there"
             await until(lambda: bool(balancer.registry.paths))
-            balancer.registry.put(
-                listing(3, False)
-            )  # other generations: this discovery never had the known list
+            # other generations: this discovery never had the known list
+            balancer.registry.put(listing(3, False))
             balancer.registry.put(listing(3, True, instance("s0", here.address)))
             await until(lambda: balancer.front.driver.ready == {number_of("s0")})
             assert set(balancer.front.driver.balancer.servers) >= {number_of("s0")}
--- a/tests/node/test_one_process.py
+++ b/tests/node/test_one_process.py
@@ -116,11 +116,12 @@
     assert "subprocess.Popen" in str(report["seen"])
 
 
+# AF_UNIX: the event loop's own socket pair
 SOCKETS = {
     "AF_INET SOCK_STREAM",
     "AF_INET SOCK_DGRAM",
     "AF_UNIX SOCK_STREAM",
-}  # the last: the event loop's own socket pair
+}
 
 
 def unexpected_sockets(report: dict[str, object]) -> list[str]:
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -153,9 +153,8 @@
             late = await call(port)
             got = await late.ask(request("check", rid="late"))
             assert got.body == b"late" and got.headers["connection"] == "close"
-            got = await kept.ask(
-                request("check", rid="kept")
-            )  # its first request, on a connection accepted before
+            # its first request, on a connection accepted before
+            got = await kept.ask(request("check", rid="kept"))
             assert got.body == b"late" and got.headers["connection"] == "close"
             stub.writers[0].write(answer(b"at last"))
             got = await read_message(busy.reader)
@@ -208,9 +207,8 @@
             busy.writer.write(request(rid="busy"))
             await until(lambda: len(stub.seen) == 1)
             move(tmp_path, second, process)
-            await until(
-                lambda: second.paths == ["/v1/endpoints"]
-            )  # the full list: generations of two discoveries may not compare
+            # the full list: generations of two discoveries may not compare
+            await until(lambda: second.paths == ["/v1/endpoints"])
             move(tmp_path, third, process)  # while the first request of that kind is open
             await until(lambda: third.paths == ["/v1/endpoints"])
             # Lower than the generation known before, and used nevertheless.
--- a/tests/node/test_versions.py
+++ b/tests/node/test_versions.py
@@ -129,9 +129,8 @@
             await until(lambda: all_act_on([here, there], 0))
             status, reply = await call(here, "/maintenance/enter", {"name": "s0"})
             assert (status, reply) == (200, {"here": True, "fleet": True})
-            assert (await call(here, "/maintenance/enter", {"name": "s1"}))[
-                0
-            ] == 409  # no server would be left
+            # no server would be left
+            assert (await call(here, "/maintenance/enter", {"name": "s1"}))[0] == 409
             assert (await call(here, "/maintenance/enter", {"name": "s9"}))[0] == 404
             await until(lambda: "s0" in there.core.acts.out)
             for n in range(8):
@@ -181,9 +180,8 @@
             await until(lambda: there.leaving == {number_of("s0")})
             assert {(await b.ask(request(rid=f"r{n}"))).body for n in range(24)} == {b"s1", b"s2", b"s3"}
             a.registry.put(listing(8, True, *rows(3)))
-            await until(
-                lambda: there.core.lists.ignored > 0
-            )  # three of four are too many: logged and ignored
+            # three of four are too many: logged and ignored
+            await until(lambda: there.core.lists.ignored > 0)
             assert there.leaving == {number_of("s0")}
             for x in (here, there):
                 x.close()
@@ -208,9 +206,8 @@
             reply = json.loads(here.agree.view.status())
             assert reply["rules"]["mode"] == "doubtful" and "majority" in reply["rules"]["why"]
             assert a.front.driver.balancer.word.doubtful
-            assert (await a.ask(request("check"))).start.split()[
-                1
-            ] == "500"  # not retried: the attempt may have been executed
+            # not retried: the attempt may have been executed
+            assert (await a.ask(request("check"))).start.split()[1] == "500"
             assert len(stub.seen) == 1
             assert (await call(here, "/maintenance/exit", {"name": "s0"}))[0] == 503  # it may be banned
             status, reply = await call(here, "/settings/propose", {"settings": made_unsafe()})
@@ -232,9 +229,8 @@
             here.started_at = here.now()
             assert a.front.driver.ready and not a.front.is_ready()
             here.started_at -= int(feature.STARTUP_WAIT_S * 1e9)
-            assert (
-                a.front.is_ready() and here.core.acts.doubtful
-            )  # no other balancer is reached: it serves, doubtful
+            # no other balancer is reached: it serves, doubtful
+            assert a.front.is_ready() and here.core.acts.doubtful
             here.started_at = here.now()
             async with two as b:
                 await until(a.front.is_ready)
