--- a/dykeshift/console/calls.py
+++ b/dykeshift/console/calls.py
@@ -1,6 +1,6 @@
-"""What each call asks and how it is answered: no sockets, no clock. It knows a desk that does as asked.
+"""The console's calls and their answers, sans-I/O. A `ConsoleBackend` carries them out.
 
-Nothing changes unless the answer is a yes; every no is one plain line.
+Nothing changes unless the status is 200; every error is one line of plain text.
 """
 
 from __future__ import annotations
@@ -10,37 +10,39 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-MAX_BODY = 16_384  # settings of a whole deployment, as a proposal
+MAX_BODY = 16_384  # a proposal contains the settings of a whole deployment
 MAX_NAME = 256
 
 
 Done = Callable[[int, bytes], None]  # status and JSON text, once
-Order = Callable[[bytes, Done], None]  # the call's body, and whom to answer
+DeferredCall = Callable[
+    [bytes, Done], None
+]  # the body of an asynchronous call, and the callback for its answer
 
 
-class Desk(Protocol):
-    """Who carries the calls out. OSError: it can't, and nothing has changed."""
+class ConsoleBackend(Protocol):
+    """Carries the calls out. On OSError nothing has changed."""
 
     def figures(self) -> dict[str, Any]:
-        """Every figure of the status call, by name, ready for JSON."""
+        """All values of `GET /status/metrics`, by name, ready for JSON."""
 
-    def ask(self, path: bytes) -> bytes | None:
-        """What a feature answers there, as JSON; None: there is none that does."""
+    def immediate_answer(self, path: bytes) -> bytes | None:
+        """A feature's answer to GET at this path, as JSON; None if no feature has one."""
 
-    def order(self, method: bytes, path: bytes) -> Order | None:
-        """A feature's call that takes its time; None: there is none of that name."""
+    def deferred_call(self, method: bytes, path: bytes) -> DeferredCall | None:
+        """A feature's asynchronous call; None if there is none."""
 
     def enter(self, name: str) -> bool:
-        """Ban an upstream; False: none of that name was ever listed."""
+        """Ban an upstream. Returns False when no upstream of that name was ever listed."""
 
     def exit(self, name: str) -> bool:
         """Lift the ban of an upstream. Returns False when no upstream of that name was ever listed."""
 
     def standby(self) -> None:
-        """Refuse new requests until `active`; those under way are finished."""
+        """Drain until `active`; requests in flight are finished."""
 
     def active(self) -> bool:
-        """False: the process is ending."""
+        """End the standby. Returns False when the process is ending."""
 
 
 class CallError(Exception):
@@ -61,57 +63,57 @@
     allow: bytes = b""
 
 
-def _status(desk: Desk, body: bytes) -> Answer:
-    return _said("serving")
+def _status(backend: ConsoleBackend, body: bytes) -> Answer:
+    return _text_answer("serving")
 
 
-def _metrics(desk: Desk, body: bytes) -> Answer:
-    text = json.dumps(desk.figures(), separators=(",", ":"))
+def _metrics(backend: ConsoleBackend, body: bytes) -> Answer:
+    text = json.dumps(backend.figures(), separators=(",", ":"))
     return Answer(200, text.encode() + b"\n", b"application/json")
 
 
-def _enter(desk: Desk, body: bytes) -> Answer:
+def _enter(backend: ConsoleBackend, body: bytes) -> Answer:
     name = name_of(body)
-    if not desk.enter(name):
+    if not backend.enter(name):
         raise CallError(404, "no upstream of that name was ever listed")
-    return _said("out by hand")
+    return _text_answer("out by hand")
 
 
-def _exit(desk: Desk, body: bytes) -> Answer:
+def _exit(backend: ConsoleBackend, body: bytes) -> Answer:
     name = name_of(body)
-    if not desk.exit(name):
+    if not backend.exit(name):
         raise CallError(404, "no upstream of that name was ever listed")
-    return _said("back")
+    return _text_answer("back")
 
 
-def _standby(desk: Desk, body: bytes) -> Answer:
-    desk.standby()
-    return _said("draining")
+def _standby(backend: ConsoleBackend, body: bytes) -> Answer:
+    backend.standby()
+    return _text_answer("draining")
 
 
-def _active(desk: Desk, body: bytes) -> Answer:
-    if not desk.active():
+def _active(backend: ConsoleBackend, body: bytes) -> Answer:
+    if not backend.active():
         raise CallError(409, "the process is ending")
-    return _said("serving")
+    return _text_answer("serving")
 
 
-def _said(text: str) -> Answer:
+def _text_answer(text: str) -> Answer:
     return Answer(200, text.encode() + b"\n")
 
 
 def name_of(body: bytes) -> str:
     """The upstream's name in a call's JSON body. Raises CallError 400 when there is none."""
     try:
-        given = json.loads(body)
+        fields = json.loads(body)
     except (ValueError, RecursionError):
-        raise CallError(400, "the body is no JSON") from None
-    name = given.get("name") if isinstance(given, dict) else None
+        raise CallError(400, "the body is not JSON") from None
+    name = fields.get("name") if isinstance(fields, dict) else None
     if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME:
-        raise CallError(400, 'the body is no object with a "name" of 1 to 256 characters')
+        raise CallError(400, 'the body must be an object with a "name" of 1 to 256 characters')
     return name
 
 
-Call = Callable[[Desk, bytes], Answer]
+Call = Callable[[ConsoleBackend, bytes], Answer]
 CALLS: dict[bytes, tuple[bytes, Call]] = {
     b"/status": (b"GET", _status),
     b"/status/metrics": (b"GET", _metrics),
@@ -122,35 +124,37 @@
 }
 
 
-def respond(desk: Desk, method: bytes, target: bytes, body: bytes, done: Callable[[Answer], None]) -> None:
-    """One whole call: `done` is called once, now or when the feature that is asked has its answer."""
-    order = desk.order(method, target.partition(b"?")[0])
+def respond(
+    backend: ConsoleBackend, method: bytes, target: bytes, body: bytes, done: Callable[[Answer], None]
+) -> None:
+    """Handle one call: `done` is called once, at once or when the feature concerned has its answer."""
+    order = backend.deferred_call(method, target.partition(b"?")[0])
     if order is None:
-        done(answer(desk, method, target, body))
+        done(answer(backend, method, target, body))
     else:
         order(body, lambda status, text: done(Answer(status, text + b"\n", b"application/json")))
 
 
-def answer(desk: Desk, method: bytes, target: bytes, body: bytes) -> Answer:
-    """One whole call that is answered at once."""
+def answer(backend: ConsoleBackend, method: bytes, target: bytes, body: bytes) -> Answer:
+    """Handle one call that is answered synchronously."""
     path = target.partition(b"?")[0]
     found = CALLS.get(path)
     if found is None:
-        return _feature(desk, method, path)
-    wanted, call = found
-    if method != wanted:
-        return Answer(405, b"the method of this call is " + wanted + b"\n", allow=wanted)
+        return _feature(backend, method, path)
+    allowed, call = found
+    if method != allowed:
+        return Answer(405, b"the method of this call is " + allowed + b"\n", allow=allowed)
     try:
-        return call(desk, body)
+        return call(backend, body)
     except CallError as exc:
         return refusal(exc.status, str(exc))
     except OSError as exc:
         return refusal(500, f"it could not be written down, and nothing has changed: {exc.strerror}")
 
 
-def _feature(desk: Desk, method: bytes, path: bytes) -> Answer:
-    text = desk.ask(path)
-    allowed = next((m for m in (b"GET", b"PUT") if desk.order(m, path) is not None), b"")
+def _feature(backend: ConsoleBackend, method: bytes, path: bytes) -> Answer:
+    text = backend.immediate_answer(path)
+    allowed = next((m for m in (b"GET", b"PUT") if backend.deferred_call(m, path) is not None), b"")
     if text is None and allowed:
         return Answer(405, b"the method of this call is " + allowed + b"\n", allow=allowed)
     if text is None:
@@ -161,12 +165,12 @@
 
 
 def refusal(status: int, text: str) -> Answer:
-    """A plain-text answer that says why nothing was done."""
+    """A plain-text answer that says why the call was refused."""
     return Answer(status, text.encode() + b"\n")
 
 
 def render(answer: Answer, reason: bytes) -> bytes:
-    """The answer as HTTP/1.1 bytes, with `reason` as its reason phrase; the connection closes behind it."""
+    """The answer as HTTP/1.1 bytes, with `reason` as its reason phrase; the connection closes after it."""
     lines = [
         b"HTTP/1.1 %d %s" % (answer.status, reason),
         b"Content-Type: " + answer.kind,
--- a/dykeshift/node/quiet.py
+++ b/dykeshift/node/quiet.py
@@ -1,4 +1,4 @@
-"""The parts of a feature that takes no part in serving: it opens, carries and objects to nothing."""
+"""Default hooks of a feature that takes no part in serving: no connections, no carrier, no objections."""
 
 from __future__ import annotations
 
@@ -15,28 +15,34 @@
     from dykeshift.engine.upstream import Carrier
 
 
-class Still:
-    """Has nothing to drain and nothing to finish."""
+class PassiveService:
+    """A service with nothing to drain and no work in flight."""
 
-    def drain(self) -> None: ...
+    def drain(self) -> None:
+        """Nothing to do."""
 
     def busy(self) -> bool:
+        """Always False: there is never work in flight."""
         return False
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Nothing to do."""
 
 
 def check(options: Any, settings: Settings | None) -> None:
-    """Nothing beyond the kinds of its values."""
+    """Accept all options that have the declared types."""
 
 
 def carrier(options: Any, loop: asyncio.AbstractEventLoop, clock: Clock) -> Carrier | None:
+    """None: the feature does not set the upstreams' protocol."""
     return None
 
 
 def objection(options: Any) -> Objection | None:
+    """None: the feature does not check requests."""
     return None
 
 
-def connections(options: Any, given: config.Config) -> int:
+def connections(options: Any, configuration: config.Config) -> int:
+    """None of the client connections are reserved."""
     return 0
--- a/tests/console/test_calls.py
+++ b/tests/console/test_calls.py
@@ -1,4 +1,4 @@
-"""The six calls without sockets: what each does, what each says no to, and that a no changes nothing."""
+"""The six console calls without sockets: their effect, their errors, and that an error changes nothing."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 KNOWN = ("s0", "s1", "ø")
 
 
-class Desk:
+class FakeBackend:
     def __init__(self) -> None:
         self.out: set[str] = set()
         self.draining = self.ending = False
@@ -22,10 +22,10 @@
     def figures(self) -> dict[str, Any]:
         return {"inflight": len(self.out)}
 
-    def ask(self, path: bytes) -> bytes | None:
+    def immediate_answer(self, path: bytes) -> bytes | None:
         return b'{"settled":true}' if path == b"/fleet" else None
 
-    def order(self, method: bytes, path: bytes) -> calls.Order | None:
+    def deferred_call(self, method: bytes, path: bytes) -> calls.DeferredCall | None:
         return (lambda body, done: done(409, body)) if (method, path) == (b"PUT", b"/agree/propose") else None
 
     def enter(self, name: str) -> bool:
@@ -68,19 +68,21 @@
 
 
 @given(st.lists(CALLS, max_size=30))
-def test_every_call_has_one_answer_and_a_no_changes_nothing(made: list[tuple[bytes, bytes, bytes]]) -> None:
-    desk, out, draining = Desk(), set[str](), False
-    for method, target, body in made:
-        before = desk.state()
-        got = calls.answer(desk, method, target, body)
+def test_every_call_has_one_answer_and_an_error_changes_nothing(
+    requests: list[tuple[bytes, bytes, bytes]],
+) -> None:
+    backend, out, draining = FakeBackend(), set[str](), False
+    for method, target, body in requests:
+        before = backend.state()
+        got = calls.answer(backend, method, target, body)
         if got.status != 200:
-            assert desk.state() == before and got.body.count(b"\n") == 1 and got.status in (400, 404, 405)
+            assert backend.state() == before and got.body.count(b"\n") == 1 and got.status in (400, 404, 405)
             continue
         if target.startswith(b"/maintenance"):
             name = json.loads(body)["name"]
             (out.add if target.endswith(b"enter") else out.discard)(name)
         draining = target == b"/standby" or draining and target != b"/active"
-        assert desk.state() == (out, draining)
+        assert backend.state() == (out, draining)
 
 
 @pytest.mark.parametrize(
@@ -99,14 +101,14 @@
         (b"PUT", b"/maintenance/enter", b'["s0"]', 400),
     ],
 )
-def test_what_is_answered_to(method: bytes, target: bytes, body: bytes, status: int) -> None:
-    got = calls.answer(Desk(), method, target, body)
+def test_statuses(method: bytes, target: bytes, body: bytes, status: int) -> None:
+    got = calls.answer(FakeBackend(), method, target, body)
     assert got.status == status
     assert (got.allow != b"") == (status == 405)
 
 
-def test_what_cannot_be_written_down_is_a_no() -> None:
-    class Full(Desk):
+def test_a_ban_that_cannot_be_written_is_an_error() -> None:
+    class Full(FakeBackend):
         def enter(self, name: str) -> bool:
             raise OSError(28, "No space left on device")
 
@@ -114,20 +116,20 @@
     assert got.status == 500 and b"No space left" in got.body
 
 
-def test_an_ending_process_is_not_taken_back() -> None:
-    desk = Desk()
-    desk.ending = True
-    assert calls.answer(desk, b"PUT", b"/active", b"").status == 409
+def test_an_ending_process_cannot_leave_standby() -> None:
+    backend = FakeBackend()
+    backend.ending = True
+    assert calls.answer(backend, b"PUT", b"/active", b"").status == 409
 
 
-def test_what_a_feature_answers_and_what_is_off() -> None:
-    desk = Desk()
-    assert calls.answer(desk, b"GET", b"/fleet?x=1", b"").body == b'{"settled":true}\n'
-    assert calls.answer(desk, b"PUT", b"/fleet", b"").status == 405
-    off = calls.answer(desk, b"GET", b"/agree", b"")
+def test_calls_of_features_that_are_on_and_off() -> None:
+    backend = FakeBackend()
+    assert calls.answer(backend, b"GET", b"/fleet?x=1", b"").body == b'{"settled":true}\n'
+    assert calls.answer(backend, b"PUT", b"/fleet", b"").status == 405
+    off = calls.answer(backend, b"GET", b"/agree", b"")
     assert off.status == 404 and off.body.count(b"\n") == 1
-    assert calls.answer(desk, b"GET", b"/agree/propose", b"").allow == b"PUT"
+    assert calls.answer(backend, b"GET", b"/agree/propose", b"").allow == b"PUT"
     got: list[calls.Answer] = []
-    calls.respond(desk, b"PUT", b"/agree/propose", b"{}", got.append)
-    calls.respond(desk, b"GET", b"/status", b"", got.append)
+    calls.respond(backend, b"PUT", b"/agree/propose", b"{}", got.append)
+    calls.respond(backend, b"GET", b"/status", b"", got.append)
     assert [(a.status, a.body) for a in got] == [(409, b"{}\n"), (200, b"serving\n")]
