--- a/dykeshift/rules.py
+++ b/dykeshift/rules.py
@@ -1,8 +1,11 @@
 """All decisions of the balancer; its types, events and actions are in interface.py.
 
-Redundant-to-Idle-Queue (RIQ): draw a few servers for a request, copy a safe request to those
-that look idle, else send it once to a random one of them; cancel the losers at the first good
-answer. Every public method takes the time and returns the actions to carry out.
+Redundant-to-Idle-Queue (RIQ): sample a few servers for a request. Send copies of a safe request to
+those that look idle; send any other request once, to an idle server if there is one, else to a random
+one. Cancel the other attempts at the first good answer. Every public method of `Balancer` is an event:
+it takes the time and returns the actions to carry out.
+
+"Our" and "this instance" mean one balancer process; several of them share the same servers.
 """
 
 from __future__ import annotations
@@ -15,78 +18,159 @@
 from dykeshift.interface import LoadReport, Outcome, Refuse, Request, RequestClass, Scope, Send, ServerEntry
 from dykeshift.interface import ServerList, ServerState, SetTimer, Settings, Watch, Word
 
-POOL_LEAST = 2  # times DRAW: the smallest part of a large fleet that one instance draws from
-DRAW = 5  # servers sampled per request: enough to find an idle one, few enough to stay a sample
-LOOK = 10 * DRAW  # servers looked at for them: more would cost more with each server of the fleet
-HOLD_SHARE = 0.1  # of the aim: how long a request with nowhere to go waits between two looks
-ADVICE_SHARE = 0.05  # of the aim: how long a refused client is to stay away while all are let in
-GOOD_SHARE = 0.5  # of the aim: an answer within this shows that the server carries what it has
-GROW, CUT = 2.0, 0.8  # room grows by this over those who draw, who all grow at once; shrinks on failures
-ADMIT_UP, ADMIT_DOWN = 0.1, 0.05  # for a quick answer, for a slow one: up while a third are quick
-MOST_ADMIT = 1.15  # quick answers in hand for a few slow ones: where each answer is rare, one is no jam
-LEAST_ADMIT = 0.1  # enough to notice that answers are quick again
-REGROW = 0.1  # of a room below one, at the least, for each quick answer: two or three undo a cut
-CALM = 0.45  # of the aim: a server whose answers lately took longer is not idle, whoever keeps it busy
-EASY = 0.35  # of the aim: only answers within this make a room grow
-PATIENCE = 1.3  # times the usual latency: an attempt out for longer gets a delayed copy (paper, VIII)
-FIRST_GUESS = 0.25  # of the aim: usual latency until answers tell; twice it still leaves time to hold
-NEED = 2.0  # times the usual latency: with less than this left before the aim a request is not begun
-OVERDUE = 4.0  # times the usual latency: from then on a copy goes out though none is idle
-WAIT_SHARE = 0.4  # of the aim: no delayed copy before this, a second try still fits into the rest
-ROOM = 4.0  # what all that draw from a server together trust it with before anything is known
-LEAST_ROOM = 0.05  # below one, a share of the time: a failing server is still tried now and then
-SAFETY = 0.5  # of what it bears a server is sure to bear, also where nothing is known of its like
-CHANCE = 4.5  # standard deviations of the work in a window that the cold budget leaves free
-MOST_USED = 0.7  # of the cold budget, at any size: a small server of its kind, large requests
-LAPSE = 0.5  # of an overload window: credit with a cold server is kept no longer
-SMOOTH = 0.1  # weight of the newest sample in a running mean: about the last twenty samples count
-NEAR_MOST, NEAR_PACE = 2, 0.3  # ours at a near server, its pace: up to these it still counts as idle
-TIGHT = 3.0  # times the usual latency: with less than this left all are drawn and the quickest goes first
-SOFTER, HARDER = 1.4, 0.3  # rooms grow on slower answers while servers warm up, on quicker ones in a crowd
-CROWD_STEP, CROWD_FREE = 0.02, 0.1  # one request's weight; part that may find no room before others wait
-BUSY = 0.8  # utilization reported: hardly ever without a queue
-PACE_SMOOTH = 0.2  # the same for one server's pace: it follows the last few answers
-HUNG = 2  # failures of a class in a row at a server, or times its patience, from which it hangs there
-LONGEST = 4  # doublings of the aim: the longest such rest
-TOLD = 6_000_000_000  # nanoseconds after which what discovery has counts as told, be it heard or not
-SPREAD = 0.25  # of that: within so much of it all those begin anew whose watches broke in one moment
-UNREACHED = 0.04, 0.33  # of that: least and longest pause where no connection came up: that is nobody's work
-TURNED_AWAY = 0.1, 0.4  # of that: from a call that was turned away AT_ONCE, and left no work, to the next
-UNANSWERED = 0.5, 0.9  # of that: from one that waited in vain to the next; the rest is for connect and answer
-AT_ONCE = 0.05  # of that: an end so soon is no wait
-JAM, JAMMED = 4, 2.0  # calls in vain, one after another, from which on these pauses are so much longer
-SWEEP_SHARE = 0.25  # of the overload window: how often capacity is measured and forgotten servers are dropped
-LATE = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)  # ends that came too late or not at all
-ANSWERS = (Outcome.OK, Outcome.ERROR, Outcome.FULL)  # ends that came from the server itself
-
-
-Narrower = Callable[[RequestClass, RequestClass], RequestClass]  # the first with what both allow
+# ---- sampling and the pool ----
+
+# Servers sampled per request: enough to find an idle one, few enough to stay a sample.
+DRAW = 5
+# Smallest pool, as a multiple of the sample size, that one instance samples from in a large fleet.
+POOL_LEAST = 2
+# Servers examined at most to find a sample. More would let the cost of a request grow with the fleet.
+MAX_EXAMINED = 10 * DRAW
+# Sampling for a request with less time left than this multiple of its expected latency covers all examined
+# servers, and the one expected to answer first is taken.
+SHORT_TIME_LATENCY_FACTOR = 3.0
+
+# ---- concurrency limits ----
+
+# Attempts that all instances sampling from a server together allow at it before anything is known.
+INITIAL_LIMIT = 4.0
+# Below one, a limit is a share of the time. A failing server is still tried now and then.
+MIN_LIMIT = 0.05
+# A quick answer adds the first, divided by the number of instances that sample from the server (they all
+# grow at once) and by the limit. A failure multiplies the limit by the second.
+LIMIT_GROWTH, LIMIT_CUT_FACTOR = 2.0, 0.8
+# Least relative growth of a limit below one per quick answer: two or three of them undo a cut.
+MIN_RECOVERY_RATE = 0.1
+# Share of the aim: only an answer within this raises a limit.
+GROWTH_AIM_SHARE = 0.35
+# The share above is multiplied by the first while servers warm up, so that slower answers raise limits, too;
+# in an overload it is reduced by up to the second, so that only quicker ones do.
+WARM_UP_GROWTH_FACTOR, OVERLOAD_GROWTH_CUT = 1.4, 0.3
+# Share of the aim: an answer within this shows that the server can carry its current load.
+QUICK_AIM_SHARE = 0.5
+
+# ---- admission and load shedding ----
+
+# Change of the admitted share for a quick and for a slow answer: it rises while a third are quick.
+ADMISSION_STEP_UP, ADMISSION_STEP_DOWN = 0.1, 0.05
+# Above one, quick answers in advance offset a few slow ones: an instance that gets few answers does not
+# take a single slow one for an overload.
+MAX_ADMISSION = 1.15
+# Enough requests to notice that answers are quick again.
+MIN_ADMISSION = 0.1
+# Weight of one request in the overload estimate, and the share of requests that may find no server with
+# free capacity before classes of low worth have to wait.
+OVERLOAD_SMOOTHING_WEIGHT, OVERLOAD_TOLERATED_SHARE = 0.02, 0.1
+# Share of the aim between two samples for a request that found no server.
+RECHECK_AIM_SHARE = 0.1
+# Multiple of the expected latency: with less time than this left before the aim a request is not begun.
+MIN_TIME_LATENCY_FACTOR = 2.0
+# Share of the aim that a refused client is told to wait while all requests are admitted.
+RETRY_ADVICE_AIM_SHARE = 0.05
+
+# ---- latency estimates, idle servers and hedging ----
+
+# Share of the aim assumed as a class's latency until answers tell. Twice that still leaves time to wait for
+# a server.
+INITIAL_LATENCY_AIM_SHARE = 0.25
+# Weight of the newest sample in a running mean: about the last twenty samples count.
+SMOOTHING_WEIGHT = 0.1
+# The same for the means of a single server, which follow the last few answers.
+SERVER_SMOOTHING_WEIGHT = 0.2
+# Share of the aim: a server with a higher mean latency is not idle, whichever instance keeps it busy.
+IDLE_AIM_SHARE = 0.45
+# A server in our zone with up to this many of our attempts, and with up to this mean latency as a share of
+# the aim, still counts as idle.
+NEAR_MAX_IN_FLIGHT, NEAR_AIM_SHARE = 2, 0.3
+# Reported utilization above which a server hardly ever is without a queue.
+BUSY_UTILIZATION = 0.8
+# Multiple of the expected latency after which an attempt gets a delayed copy (section VIII of the RIQ
+# paper).
+HEDGE_LATENCY_FACTOR = 1.3
+# Share of the aim: no delayed copy before this, so that a second try still fits into the rest.
+MIN_HEDGE_DELAY_AIM_SHARE = 0.4
+# Multiple of the expected latency after which a copy is sent even if no server is idle.
+FORCED_HEDGE_LATENCY_FACTOR = 4.0
+
+# ---- slow start of cold servers ----
+
+# Share of its estimated capacity that a server is certain to have, even if nothing is known of its kind.
+SAFETY = 0.5
+# Standard deviations of the work in an overload window that the budget of a cold server leaves free.
+CHANCE = 4.5
+# Share of that budget used at most, however large it is: the server may be a small one of its kind, and the
+# requests may be large.
+MOST_USED = 0.7
+# Share of an overload window after which unused credit with a cold server lapses.
+CREDIT_WINDOW_SHARE = 0.5
+# Share of an overload window between two sweeps, which measure the request rate and drop servers that left.
+SWEEP_SHARE = 0.25
+
+# ---- ejection of a server for one class ----
+
+# A class counts as hanging at a server from so many failures in a row, or without an answer for so many
+# hedge delays.
+HANG_THRESHOLD = 2
+# The class then avoids the server for its aim, doubled with each further failure up to this many times.
+MAX_BACKOFF_DOUBLINGS = 4
+
+# ---- discovery calls ----
+
+# Nanoseconds after which a balancer counts as informed of a change in discovery, received or not. The
+# shares below are of this time, or of `Settings.ask_every` where that is shorter.
+TOLD = 6_000_000_000
+# Watches that broke at the same moment are reopened spread over this share.
+SPREAD = 0.25
+# Least and longest pause after no connection came up. Short, as such a call costs discovery no work.
+UNREACHED_PAUSE_SHARES = 0.04, 0.33
+# Least and longest time from the start of a call that was rejected immediately, and so left no work, to the
+# next one.
+REJECTED_PAUSE_SHARES = 0.1, 0.4
+# The same after a call that timed out; the rest of the time is for the next connect and its answer.
+UNANSWERED = 0.5, 0.9
+# A call that fails within this share was rejected immediately.
+IMMEDIATE_END_SHARE = 0.05
+# From so many unanswered calls in a row on, the pause after one is multiplied by the second.
+FAILED_CALLS_BEFORE_BACKOFF, BACKOFF_FACTOR = 4, 2.0
+
+# ---- outcomes ----
+
+# Ends of attempts that were answered too late or not at all.
+LATE_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)
+# Ends that the server itself reported.
+SERVER_ANSWERS = (Outcome.OK, Outcome.ERROR, Outcome.FULL)
+
+
+# Restricts the first class to the repeats that both allow.
+Narrower = Callable[[RequestClass, RequestClass], RequestClass]
 
 
 @dataclass(slots=True)
 class ClassState:
-    """One class of requests at one server: what answers all others may hang on one."""
+    """One class of requests at one server: a server may answer all other classes and hang on this one."""
 
-    out: int = 0
-    quiet_since: int = 0  # its last end but for cancels, or what it was first sent after that
+    in_flight: int = 0
+    silent_since: int = (
+        0  # when an attempt last ended other than by a cancel, or the first one sent after that
+    )
     failures: int = 0  # in a row
-    rest_until: int = 0
+    backoff_until: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class ClassRecord:
     """One class of requests: its terms, and what was learned of it.
 
-    `states` has only servers with attempts of this class out or failures in a row: without one, a server is
-    as good as new to the class.
+    `states` has only servers with attempts of this class in flight or failures in a row. A server that is not
+    in it is treated by the class like a new one.
     """
 
-    klass: RequestClass  # of a retired class: with no more than what the one in force of its name allows
-    usual: float  # running mean of good answers' latency
-    since: int  # in the order in which the classes came
-    hint: float = 0.0  # running mean of the cost hints
-    value: float = 1.0  # worth per work, as a share of the dearest class's
-    retired: int = 0  # which change of the settings retired it; 0: in force
+    klass: RequestClass  # of a retired class: restricted to what the class in force under its name allows
+    usual: float  # running mean of the latency of good answers
+    sequence: int  # number in the order in which the classes came
+    mean_cost_hint: float = 0.0  # running mean
+    relative_worth: float = 1.0  # worth per unit of work, as a share of the highest of all classes
+    retired: int = 0  # number of the settings change that retired it; 0: in force
     states: dict[Server, ClassState] = field(default_factory=dict)
 
 
@@ -95,59 +179,62 @@
     """One server as this instance sees it."""
 
     entry: ServerEntry
-    room: float  # how many of our attempts it has shown it carries at once
-    rank: float  # the servers that rank lowest are the pool
-    credit: float  # attempts that it may be sent while cold
-    credited: int  # requests that its credit has grown with
+    concurrency_limit: float  # our attempts at it at the same time; below one, a share of the time
+    pool_rank: float  # the servers with the lowest ranks form the pool
+    credit: float  # attempts that it may still be sent while cold
+    credited: int  # value of `Balancer.arrived` when the credit was last increased
     in_flight: int = 0
-    cut_at: int = 0
+    limit_cut_at: int = 0
     rest_until: int = 0
-    pace: float = 0.0  # running mean of its answers' latency, as a share of the aim
-    answered: bool = True  # has answered something since it was last idle of ours
-    quiet_since: int = 0  # its last answer, or what it was first sent after that
-    heard: bool = False  # has answered since its start
-    sure: bool = True  # a list from this life says so; one from before may show who lived there then
-    ratio: float = 1.0  # running mean of its answers' latency over the usual one of their class
+    mean_latency_share: float = 0.0  # running mean of its answers' latency, as a share of the aim
+    answered_since_idle: bool = True  # has answered something since it last had none of our attempts
+    silent_since: int = 0  # when it last answered, or was first sent something after that
+    has_answered: bool = False  # since its start
+    sure: bool = (
+        True  # confirmed by a list received since our start; a cached one may be about its predecessor
+    )
+    latency_ratio: float = 1.0  # running mean of its answers' latency over the mean latency of their class
     report: LoadReport | None = None
-    reported: int = 0
+    reported_at: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A request at a server."""
+    """One send of a request to one server."""
 
     server: Server
     sent: int
-    sure: bool  # it was known which scope the server belongs to
-    end: Outcome | None = None  # None: still out
+    server_confirmed: bool  # the scope that the server belongs to was certain
+    end: Outcome | None = None  # None: still in flight
 
 
 @dataclass(slots=True, eq=False)
 class Open:
-    """A request until it is answered and all its attempts have come back."""
+    """A request until it is answered and all its attempts have ended."""
 
     request: Request
     klass: RequestClass
-    record: ClassRecord  # of its class, as long as it is open
+    record: ClassRecord  # of its class, as long as the request is open
     arrived: int
-    most: int  # attempts
+    most: int  # attempts allowed
     attempts: list[Attempt] = field(default_factory=list)
-    live: int = 0
-    closed: bool = False
+    live: int = 0  # attempts in flight
+    closed: bool = False  # its final answer is given
     streaming: bool = False
 
     def anchor(self) -> Attempt | None:
-        """The first attempt that may have run: it binds where and until when a repeat may go."""
+        """The first attempt that may have run: it determines where and until when a repeat may be sent."""
         return next((a for a in self.attempts if a.end not in NOT_RUN), None)
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """At which places the classes stand after a change of the settings, and which of them are new there."""
+    """The place of each class after a change of the settings, and which classes are new there."""
 
     classes: tuple[RequestClass, ...]
-    retired: frozenset[int]  # places that are held or free
-    fresh: dict[int, int | None]  # new classes in the order given; where the last of the name stood, if any
+    retired: frozenset[int]  # places whose classes are not in force: held or free
+    # Places of new classes, in the order given, each with the place of the last class of its name, if any.
+    fresh: dict[int, int | None]
 
 
 def assign_places(
@@ -156,16 +243,17 @@
     wanted: Iterable[RequestClass],
     held: Collection[int],
 ) -> Placement:
-    """Places for the classes that are `wanted` in force from now on.
+    """Assigns places to the classes that are `wanted` in force from now on.
 
     A request names its class by a place, an index in `Settings.classes`. A place that is held, or in force
-    before and after the change, means the same class before and after; all others are free. The very same
-    terms come back to the place that still has them. A free place is taken by the next class of its name,
-    else by another once it has been out of force for longest; free ones at the end that outnumber the classes
-    in force are dropped. So there are never more places than were in force or held at once.
-
-    `known`: the class at each place so far. `recency`: of each place, the larger the later it was in force.
-    `held`: places that requests under way or still to come name.
+    before and after the change, means the same class before and after; all others are free. A class whose
+    terms are unchanged returns to the place that still has them. Another class takes the free place of the
+    last class of its name, else the one that has been out of force for longest. While more places are free
+    than classes are in force, free ones at the end are dropped. So there are never more places than were in
+    force or held at once.
+
+    `known`: the class at each place so far. `recency`: one number a place, larger if it was in force later.
+    `held`: places named by requests that are open or still to come.
     """
     in_force = dict.fromkeys(wanted)
     place_of = {one: place for place, one in enumerate(known)}
@@ -208,35 +296,41 @@
         self.settings = settings
         self.random = Random(seed).random
         self.servers: dict[int, Server] = {}
-        self.ready: list[Server] = []  # those that run
-        self.pool: list[Server] = []  # those of them that this instance keeps in touch with
-        self.cold: list[Server] = []  # those that may be cold; the others are warm for good
-        self.banned: dict[int, int] = {}  # out by hand, since when
+        self.ready: list[Server] = []  # may be sent new requests
+        self.pool: list[Server] = []  # the part of `ready` that this instance samples from
+        self.cold: list[Server] = []  # may still be cold; all others stay warm
+        self.banned: dict[int, int] = {}  # banned by an operator: since when
         self.word = Word()  # what the fleet has agreed on
-        self.returned: dict[int, tuple[int, int]] = {}  # put back by hand: when the ban began and ended
-        self.groups: dict[tuple[Scope, int], list[Server]] = {}  # ready ones by scope, made when asked for
-        self.sorted = self.unsure = False  # `ready` is in the order of ranks; some server is not sure
-        self.arrived = self.swept = self.sweeps = 0  # requests since the start, until the last sweep; sweeps
+        self.ended_bans: dict[int, tuple[int, int]] = {}  # when the ban began and ended
+        self.groups: dict[tuple[Scope, int], list[Server]] = {}  # `ready` by scope, filled on demand
+        # Whether `ready` is in the order of ranks; whether some server is known from a cached list only.
+        self.sorted = self.has_unconfirmed = False
+        # Requests since the start, and up to the last sweep (retries not counted); number of sweeps.
+        self.arrived = self.arrived_at_sweep = self.sweeps = 0
         self.arrivals = 0.0  # requests in an overload window, running mean
         self.open: dict[str, Open] = {}
+        # Indexed by place.
         self.records = [
-            ClassRecord(c, c.aim * FIRST_GUESS, n) for n, c in enumerate(settings.classes)
-        ]  # by place
-        self.live = list(self.records)  # of the classes in force, in the order in which they came
-        self.came = len(self.records)  # classes since the start
-        self.changes = 0  # of the settings
-        self.replaced = False  # some server is another one, or gone, since the last sweep
-        self.easy = EASY
-        self.admit = 1.0  # part of the requests let in: falls while most answers of the whole pool are slow
-        self.crowd = 0.0  # rises while requests find no server with room; classes worth less than this wait
-        self.out = 0  # attempts that have not come back
-        self.yielded = 0.0  # part of the latest requests that a server answered
-        self.watching, self.asked = False, 0  # a call is out that goes on by itself; when it was begun
+            ClassRecord(c, c.aim * INITIAL_LATENCY_AIM_SHARE, n) for n, c in enumerate(settings.classes)
+        ]
+        self.records_in_force = list(self.records)  # in the order in which the classes came
+        self.classes_created = len(self.records)
+        self.settings_changes = 0
+        self.server_replaced = False  # since the last sweep some server has restarted or left
+        self.growth_latency_share = GROWTH_AIM_SHARE
+        self.admit = 1.0  # admitted share of requests: falls while most answers of the whole pool are slow
+        # Overload estimate: rises while requests find no server with free capacity. Classes of less relative
+        # worth than this wait.
+        self.crowd = 0.0
+        self.out = 0  # attempts in flight
+        self.answered_share = 0.0  # share of the latest requests that a server answered
+        self.watching, self.asked = False, 0  # a watch of discovery is open; when it was begun
         self.in_vain = 0  # calls in a row that discovery did not answer
         self.longest_aim = max((c.aim for c in settings.classes), default=0)
         self.started = 0
-        self.whole = self.mean_weight = 1.0  # of the pool: servers, cold ones by their warmth; listed size
-        self.terminating = False  # the process is told to end: deadlines are its own, and not the clients'
+        # Capacity of the pool in warm servers, cold ones counted by their warmth; mean weight of `ready`.
+        self.whole = self.mean_weight = 1.0
+        self.terminating = False  # the process is to end: deadlines are its own, not the clients'
         self.acts: list[Action] = []
 
     def _done(self) -> list[Action]:
@@ -252,18 +346,18 @@
         narrower: Narrower | None = None,
         held: Collection[int] = frozenset(),
     ) -> list[Action]:
-        """Others from now on, all their classes in force; `self.settings` then has these at their places.
+        """Replaces the settings. All their classes are in force; `self.settings` has each at its place.
 
-        A class that comes under a known name has what was learned of the one before it. `narrower`: requests
-        under way keep of their own terms only what those of their class's name allow from now on, too, and
-        so do those that come for a class which is not in force any more. `held`: places that requests may
-        come for, beside those that requests under way have.
+        A new class under a known name takes over what was learned of the previous one. `narrower`: if given,
+        open requests, and requests that still come for a retired class, are restricted to what both their own
+        terms and the new terms under the name of their class allow. `held`: places that requests may still
+        come for, besides the places of open requests.
         """
-        under_way = {item.request.klass for item in self.open.values()}
+        open_places = {item.request.klass for item in self.open.values()}
         recency = [float(record.retired or "inf") for record in self.records]
-        placed = assign_places(self.settings.classes, recency, settings.classes, under_way.union(held))
+        placed = assign_places(self.settings.classes, recency, settings.classes, open_places.union(held))
         fresh = {n: self._inherit(placed.classes[n], before) for n, before in placed.fresh.items()}
-        self.changes += 1
+        self.settings_changes += 1
         self.records = [fresh[n] if n in fresh else self.records[n] for n in range(len(placed.classes))]
         self.settings = replace(settings, classes=placed.classes, retired=placed.retired)
         terms = {c.name: c for c in settings.classes}
@@ -272,14 +366,14 @@
             if place not in placed.retired:
                 record.retired = 0
                 continue
-            record.retired, record.value = record.retired or self.changes, 1.0
+            record.retired, record.relative_worth = record.retired or self.settings_changes, 1.0
             if narrower is not None:
                 record.klass = narrower(klass, terms.get(klass.name, klass))
-        self.live = sorted(
-            (record for record in self.records if not record.retired), key=lambda record: record.since
+        self.records_in_force = sorted(
+            (record for record in self.records if not record.retired), key=lambda record: record.sequence
         )
-        self.longest_aim = max((record.klass.aim for record in self.live), default=0)
-        self._appraise()
+        self.longest_aim = max((record.klass.aim for record in self.records_in_force), default=0)
+        self._update_relative_worth()
         if narrower is not None:
             for item in self.open.values():
                 item.klass = narrower(item.klass, terms.get(item.klass.name, item.klass))
@@ -287,29 +381,29 @@
         return self._done()
 
     def _inherit(self, klass: RequestClass, before: int | None) -> ClassRecord:
-        """Of a class that is new, with what was learned at the place `before` of the one before it."""
-        self.came += 1
+        """The record of a new class, with what was learned of its predecessor at the place `before`."""
+        self.classes_created += 1
         if before is None:
-            return ClassRecord(klass, klass.aim * FIRST_GUESS, self.came)
+            return ClassRecord(klass, klass.aim * INITIAL_LATENCY_AIM_SHARE, self.classes_created)
         known = self.records[before]
         failing = {
-            server: ClassState(failures=state.failures, rest_until=state.rest_until)
+            server: ClassState(failures=state.failures, backoff_until=state.backoff_until)
             for server, state in known.states.items()
             if state.failures
         }
-        return ClassRecord(klass, known.usual, self.came, known.hint, states=failing)
+        return ClassRecord(klass, known.usual, self.classes_created, known.mean_cost_hint, states=failing)
 
     def on_word(self, now: int, word: Word) -> list[Action]:
-        """What the fleet has agreed on beside the settings, from now on; whole, not a change."""
+        """What the fleet has agreed on besides the settings: the complete state, not a change."""
         out, self.word = self.word.out, word
         if out != word.out:
             self._sort_out(now)
         return self._done()
 
     def on_termination(self, now: int, answer_by: int) -> list[Action]:
-        """The process is told to end: no request is answered later than `answer_by`.
+        """The process is to end: no request is answered later than `answer_by`.
 
-        Requests that come from now on have that in their deadline. May be told again, with an earlier time.
+        The deadlines of requests that come from now on respect it. May be called again with an earlier time.
         """
         self.terminating = True
         for item in list(self.open.values()):
@@ -317,22 +411,22 @@
                 continue
             item.request = replace(item.request, deadline=answer_by)
             if not item.live and not item.streaming:
-                self._hold(now, item)  # the look that was planned may come too late
+                self._wait_for_capacity(now, item)  # the recheck already scheduled may come too late
         return self._done()
 
     # ---- the list of servers ----
 
     def on_start(self, now: int) -> list[Action]:
-        """The first event: timers are set, and discovery is asked where it has to be."""
+        """The first event: sets timers and, where the settings ask for it, opens a watch of discovery."""
         self.started = now
         if self.settings.ask_discovery:
             self._watch(now)
         return self.on_timer(now, "sweep")
 
     def on_discovery_moved(self, now: int) -> list[Action]:
-        """Another discovery answers from now on: asked soon, whatever pause the old one's failures had left.
+        """Discovery has moved to another instance: it is called soon, regardless of earlier failed calls.
 
-        All balancers move at once, and the call is as a broken watch's.
+        As all balancers move at the same moment, the call is spread like the reopening of a broken watch.
         """
         self.in_vain = 0
         if self.settings.ask_discovery:
@@ -340,7 +434,7 @@
         return self._done()
 
     def on_list(self, now: int, update: ServerList) -> list[Action]:
-        """The list of servers, changes of it, or that a call for it has failed."""
+        """The list of servers, a change of it, or the failure of a call for it."""
         if update.kind is ListKind.FAILED:
             if self.settings.ask_discovery:
                 self._ask_later(now, update.end)
@@ -352,28 +446,29 @@
             for server in self.servers.values():
                 if server.entry.id not in listed:
                     server.entry = replace(server.entry, state=ServerState.GONE)
-        rooms = [s.room for s in self.ready[:LOOK]]  # one that comes later is trusted like those there
-        first = ROOM / self._sharing(POOL_LEAST * DRAW, len(update.entries))
-        room = sum(rooms) / len(rooms) if rooms else first
-        for entry in map(self._believed, update.entries):
+        # A server that is added later starts with the mean limit of the present ones.
+        limits = [s.concurrency_limit for s in self.ready[:MAX_EXAMINED]]
+        initial = INITIAL_LIMIT / self._sharing(POOL_LEAST * DRAW, len(update.entries))
+        limit = sum(limits) / len(limits) if limits else initial
+        for entry in map(self._with_believed_start, update.entries):
             known = self.servers.get(entry.id)
-            if known is None or entry.started > known.entry.started:  # a new process: what was known is void
-                self.servers[entry.id] = self._new(entry, room)
+            if known is None or entry.started > known.entry.started:  # a new process
+                self.servers[entry.id] = self._new_server(entry, limit)
             else:
                 known.entry = entry
-        if self.unsure or update.kind is ListKind.CACHED:
-            self.unsure = update.kind is ListKind.CACHED
-            for server in self.servers.values():  # changes alone say, too, that all else is as it was
-                server.sure = not self.unsure
+        if self.has_unconfirmed or update.kind is ListKind.CACHED:
+            self.has_unconfirmed = update.kind is ListKind.CACHED
+            for server in self.servers.values():  # a delta, too, confirms all entries that it does not change
+                server.sure = not self.has_unconfirmed
         self._sort_out(now)
         return self._done()
 
-    def _new(self, entry: ServerEntry, room: float) -> Server:
-        self.replaced = True
-        return Server(entry, room, self.random(), self.random(), self.arrived)
+    def _new_server(self, entry: ServerEntry, limit: float) -> Server:
+        self.server_replaced = True
+        return Server(entry, limit, self.random(), self.random(), self.arrived)
 
     def _sort_out(self, now: int) -> None:
-        """Which of the servers may be sent to, as the list and the operators say."""
+        """Determines the servers that the list and the operators allow to be sent to."""
         self.ready = [
             s
             for s in self.servers.values()
@@ -386,32 +481,34 @@
         self.mean_weight = sum(s.entry.weight for s in self.ready) / max(1, len(self.ready)) or 1.0
         self._gather(now)
 
-    # ---- out by hand ----
+    # ---- bans by operators ----
 
     def on_ban(self, now: int, server: int) -> list[Action]:
-        """Nothing new to it until the ban ends, whatever the list says, be it listed now or not."""
+        """Sends nothing new to the server until the ban ends, whether or not it is listed now."""
         self.banned.setdefault(server, now)
         self._sort_out(now)
         return self._done()
 
     def on_ban_end(self, now: int, server: int) -> list[Action]:
-        """It may have started anew at any moment of the ban: cold since now, until the list says more."""
+        """Ends a ban. The server may have restarted meanwhile: cold until the list tells more."""
         since = self.banned.pop(server, None)
         if since is not None:
-            self.returned[server] = since, now
+            self.ended_bans[server] = since, now
             known = self.servers.get(server)
             if known is not None and known.entry.started <= since:
-                self.servers[server] = self._new(self._believed(known.entry), known.room)
+                self.servers[server] = self._new_server(
+                    self._with_believed_start(known.entry), known.concurrency_limit
+                )
             self._sort_out(now)
         return self._done()
 
-    def _believed(self, entry: ServerEntry) -> ServerEntry:
-        """A start from before a ban by hand may be older than the server that came back from it."""
-        since, until = self.returned.get(entry.id, (0, 0))
+    def _with_believed_start(self, entry: ServerEntry) -> ServerEntry:
+        """The entry, started at the end of a ban if its start is from before: it may have restarted since."""
+        since, until = self.ended_bans.get(entry.id, (0, 0))
         return replace(entry, started=until) if until and entry.started <= since else entry
 
     def avoided(self, now: int) -> int:
-        """How many servers of the list get nothing new at this instant, by hand or by choice."""
+        """How many listed servers get nothing new now: banned, held out by the fleet, draining or ejected."""
         barred = self.word.out | self.banned.keys()
         return sum(
             s.entry.id in barred or s.entry.state is ServerState.DRAINING or now < s.rest_until
@@ -420,24 +517,27 @@
         )
 
     def _ask_later(self, now: int, end: CallEnd) -> None:
-        """A pause before the next watch: what there is to tell is heard before it counts as told.
+        """Schedules the next watch, soon enough to receive a change before it counts as known here.
 
-        Spread, as all may fail at once, and as long as that allows: a call that waited in vain leaves its
-        work in discovery's queue. While all balancers repeat sooner than that queue is worked off, every call
-        in it is dead before its turn, and none ever gets a list: then it has to take longer.
+        The pause is random, as the calls of all balancers may fail at once. It is as long as that time
+        allows, as a call that timed out leaves its work in discovery's queue. If all balancers call again
+        sooner than that queue is worked off, every call in it has timed out before its turn and nobody ever
+        gets a list; therefore the pause is longer after several unanswered calls in a row.
         """
         self.watching = False
         limit = min(TOLD, self.settings.ask_every)
-        since, jam = now, 1.0
+        since, factor = now, 1.0
         if end is CallEnd.BROKEN:
             low, high = 0.0, SPREAD * (1 - 1 / self.settings.balancers)
         elif end is CallEnd.UNREACHED:
-            low, high = UNREACHED
+            low, high = UNREACHED_PAUSE_SHARES
         else:
-            low, high = TURNED_AWAY if now - self.asked < AT_ONCE * limit else UNANSWERED
-            since, jam = self.asked, JAMMED if self.in_vain >= JAM else 1.0
+            low, high = (
+                REJECTED_PAUSE_SHARES if now - self.asked < IMMEDIATE_END_SHARE * limit else UNANSWERED
+            )
+            since, factor = self.asked, BACKOFF_FACTOR if self.in_vain >= FAILED_CALLS_BEFORE_BACKOFF else 1.0
             self.in_vain += 1
-        at = since + int(limit * jam * (low + (high - low) * self.random()))
+        at = since + int(limit * factor * (low + (high - low) * self.random()))
         self.acts.append(SetTimer("watch", max(now + 1, at)))
 
     def _watch(self, now: int) -> None:
@@ -446,58 +546,67 @@
             self.acts.append(Watch())
 
     def _gather(self, now: int) -> None:
-        """The pool: no more servers than this instance has requests for in the longest aim.
+        """Rebuilds the pool: no more servers than this instance has requests within the longest aim.
 
-        Each is met about once in that time, in which a jam can form. Met more seldom, what was learned of a
-        server is no longer true: rooms, paces and rests follow what was, and a connection is dialled for
-        nearly every request.
+        So each is used about once in that time, which is how fast an overload can build up. If servers were
+        used less often, what was learned of them (concurrency limit, latency, ejection) would be out of date,
+        and nearly every request would need a new connection.
         """
         if not self.sorted:
-            self.ready.sort(key=lambda s: s.rank)
+            self.ready.sort(key=lambda s: s.pool_rank)
             self.sorted = True
-        met = self.arrivals * self.longest_aim / self.settings.overload_window
-        if self.sweeps < 2:  # twice what came so far: without a mean yet, the pool has to grow as they come
-            met = max(met, 2 * self.arrived * min(1.0, self.longest_aim / max(1, now - self.started)))
-        self.pool = self.ready[: max(POOL_LEAST * DRAW, int(met))]
-        # Not under SAFETY of them: a fleet that went cold at once did not serve what was measured before.
+        size = self.arrivals * self.longest_aim / self.settings.overload_window
+        if self.sweeps < 2:  # there is no mean yet: the pool grows with twice the requests so far
+            size = max(size, 2 * self.arrived * min(1.0, self.longest_aim / max(1, now - self.started)))
+        self.pool = self.ready[: max(POOL_LEAST * DRAW, int(size))]
+        # Not below the share SAFETY: rates measured before the whole fleet went cold at once do not hold.
         pooled = set(self.pool) if self.cold and len(self.pool) < len(self.ready) else None
-        lacking = sum(1 - self._warmth(now, s) for s in self.cold if pooled is None or s in pooled)
-        self.whole = max(len(self.pool) - lacking, SAFETY * len(self.pool), 1.0)
+        missing = sum(1 - self._warmth(now, s) for s in self.cold if pooled is None or s in pooled)
+        self.whole = max(len(self.pool) - missing, SAFETY * len(self.pool), 1.0)
 
     def _sharing(self, pool: int, ready: int) -> float:
-        """How many instances draw from one server, where all have pools of this size.
+        """How many instances sample from one server, if all have pools of this size.
 
-        They alone share what it carries: by all of a large tier, a room would be so small that one slow
-        answer keeps the server away for seconds.
+        Only these share its capacity. Divided by all balancers of a large fleet, a concurrency limit would be
+        so small that one slow answer ejects the server for seconds.
         """
         return max(1.0, self.settings.balancers * min(1.0, pool / max(1, ready)))
 
-    # ---- draw ----
+    # ---- sampling ----
 
     def _draw(self, now: int, item: Open) -> list[Server]:
-        """Up to DRAW servers at random without replacement, of those that this request may go to."""
-        bound = item.klass.idempotency is Idempotency.KEYED and item.anchor()  # few drop its repeats
+        """Samples servers that this request may be sent to: up to DRAW, at random without replacement.
+
+        More if the request is short of time.
+        """
+        # Only few servers drop its repeats.
+        bound = item.klass.idempotency is Idempotency.KEYED and item.anchor()
         pool = self._group(bound, item.klass.scope) if bound else self.pool
-        picked, aside, hung, looks = list[Server](), list[Server](), list[Server](), min(len(pool), LOOK)
-        most = looks if self._tight(now, item) else DRAW
-        for i in range(looks):
+        picked, suspect, hanging, examined = (
+            list[Server](),
+            list[Server](),
+            list[Server](),
+            min(len(pool), MAX_EXAMINED),
+        )
+        most = examined if self._short_of_time(now, item) else DRAW
+        for i in range(examined):
             j = i + int(self.random() * (len(pool) - i))
             pool[i], pool[j] = pool[j], pool[i]
             if self._allowed(now, item, pool[i]):
                 (
-                    hung
+                    hanging
                     if self._hangs(now, item, pool[i])
-                    else aside
+                    else suspect
                     if self._suspect(now, item, pool[i])
                     else picked
                 ).append(pool[i])
                 if len(picked) == most:
                     break
-        # A trouble of the whole fleet must not shut it out: more than half are never left aside.
-        return picked if picked and len(aside) * 2 <= looks else (picked + aside or hung)[:DRAW]
+        # A fault of most servers must not exclude them: suspect ones are used if they are more than half.
+        return picked if picked and len(suspect) * 2 <= examined else (picked + suspect or hanging)[:DRAW]
 
     def _group(self, anchor: Attempt, scope: Scope) -> list[Server]:
-        """Those ready that drop repeats of what this attempt did."""
+        """The ready servers that drop repeats of this attempt."""
         entry = anchor.server.entry
         place = {Scope.ALL: 0, Scope.ZONE: entry.zone, Scope.CELL: entry.cell}[scope]
         if (scope, place) not in self.groups:
@@ -509,19 +618,25 @@
         return self.groups[scope, place]
 
     def _hangs(self, now: int, item: Open, server: Server) -> bool:
-        """Whether this class gets no answers there, whatever others get: left to the last."""
+        """Whether this class gets no answers from the server, even if others do: it is the last resort."""
         state = item.record.states.get(server)
-        if state is None or not state.out:
+        if state is None or not state.in_flight:
             return False
-        return state.failures >= HUNG or now - state.quiet_since > HUNG * PATIENCE * self._expected(item)
+        return (
+            state.failures >= HANG_THRESHOLD
+            or now - state.silent_since > HANG_THRESHOLD * HEDGE_LATENCY_FACTOR * self._expected(item)
+        )
 
     def _suspect(self, now: int, item: Open, server: Server) -> bool:
-        """A slow, stalled or hung server: left aside, so that it does not take the lone requests."""
-        quiet = now - server.quiet_since  # slow lately: others first, it would be driven into a jam
+        """Whether the server is slow, stalled or hung: others go first, for requests that are sent only once.
+
+        A server that was slow lately would be overloaded by more.
+        """
+        silence = now - server.silent_since
         return (
-            server.pace > GOOD_SHARE
-            and quiet < item.klass.aim
-            or (server.in_flight > 0 and quiet > PATIENCE * self._expected(item))
+            server.mean_latency_share > QUICK_AIM_SHARE
+            and silence < item.klass.aim
+            or (server.in_flight > 0 and silence > HEDGE_LATENCY_FACTOR * self._expected(item))
         )
 
     def _allowed(self, now: int, item: Open, server: Server) -> bool:
@@ -539,102 +654,127 @@
             )
         ):
             return False
-        # Prevents a class that hangs on some servers from feeding them: one trial after each rest.
+        # A class that hangs on some servers sends them only one trial after each back-off.
         state = item.record.states.get(server)
-        if state is not None and now < state.rest_until:
+        if state is not None and now < state.backoff_until:
             return False
-        # Room prevents the jam in which every server holds more than it can finish in time.
-        return server.in_flight < server.room and now >= server.rest_until and self._cold_room(now, server)
+        # Without concurrency limits every server could hold more than it can finish in time.
+        return (
+            server.in_flight < server.concurrency_limit
+            and now >= server.rest_until
+            and self._cold_room(now, server)
+        )
 
     def _may_send(self, now: int, item: Open) -> bool:
-        """Whether one more attempt breaks no rule, to a server that _allowed lets through."""
+        """Whether the request may have one more attempt, at a server that `_allowed` accepts."""
         if item.closed or item.streaming or len(item.attempts) >= item.most:
             return False
         end = item.request.deadline
         if not item.klass.late_share:
             end = min(end, item.arrived + item.klass.aim)
-        if now >= end or (item.live and not self.settings.copies_allowed) or not self._finishes(now, item):
+        if (
+            now >= end
+            or (item.live and not self.settings.copies_allowed)
+            or not self._likely_to_finish(now, item)
+        ):
             return False
         anchor = item.anchor()
         if anchor is None:
             return True
         if self.word.doubtful:
-            return False  # others may know by now that it must not run twice
+            return False  # newer settings, known to others, may say that it must not run twice
         if item.klass.idempotency is Idempotency.SAFE:
             return True
-        # Unsure: its address may belong to a server of another scope by now, which knows no such key.
+        # Not confirmed: its address may belong by now to a server of another scope, which lacks the key.
         return (
             item.klass.idempotency is Idempotency.KEYED
-            and anchor.sure
+            and anchor.server_confirmed
             and now < anchor.sent + item.klass.window
         )
 
-    def _finishes(self, now: int, item: Open) -> bool:
+    def _likely_to_finish(self, now: int, item: Open) -> bool:
         """Whether an attempt that begins now is likely to be answered before the process ends.
 
-        What is begun for nothing may run, and its client could not be told to try elsewhere.
+        An attempt that is cut off may have run, so its client could not be told to try elsewhere.
         """
         return not self.terminating or now + self._expected(item) < item.request.deadline
 
-    # ---- idle ----
+    # ---- idle servers ----
 
     def _idle(self, now: int, server: Server) -> bool:
         near = server.entry.zone == self.settings.zone
-        if near and server.in_flight <= NEAR_MOST and server.heard and server.pace <= NEAR_PACE:
-            return not self._says_busy(server)  # to wait behind another costs less here than to cross rooms
-        if server.in_flight or not server.answered or not server.heard:
-            return False  # heard: at a start all would read idle to everyone at once
-        # Pace prevents many balancers, each with nothing there, from copying into a jam.
-        return server.pace <= CALM and not self._says_busy(server)
+        if (
+            near
+            and server.in_flight <= NEAR_MAX_IN_FLIGHT
+            and server.has_answered
+            and server.mean_latency_share <= NEAR_AIM_SHARE
+        ):
+            return not self._says_busy(server)  # a short queue costs less than the way to another zone
+        if server.in_flight or not server.answered_since_idle or not server.has_answered:
+            return False  # without an answer yet: after a start all servers would look idle to all balancers
+        # The latency keeps many balancers, each with nothing in flight there, from copying into an overload.
+        return server.mean_latency_share <= IDLE_AIM_SHARE and not self._says_busy(server)
 
     def _says_busy(self, server: Server) -> bool:
         report = server.report
-        return report is not None and bool(report.queued or (report.utilization or 0.0) > BUSY)
+        return report is not None and bool(report.queued or (report.utilization or 0.0) > BUSY_UTILIZATION)
 
     def _says_free(self, now: int, server: Server) -> bool:
         told = server.report is not None and server.report.utilization is not None
-        recent = now - server.reported < self.settings.overload_window
+        recent = now - server.reported_at < self.settings.overload_window
         return told and recent and not self._says_busy(server)
 
-    # ---- copy or lone send ----
+    # ---- dispatch and hedging ----
 
     def on_request(self, now: int, request: Request) -> list[Action]:
-        """A client asks. It gets one final answer: of an attempt, `Refuse` or `Fail`."""
+        """A client's request. It gets one final answer: that of an attempt, `Refuse` or `Fail`."""
         record = self.records[request.klass]
         klass = record.klass
         most = request.attempts or self.settings.attempt_limit
         item = self.open[request.id] = Open(request, klass, record, now, most)
-        self.arrived += not request.retry  # retries would enlarge the pool, and fill every connection table
+        # Counting retries would enlarge the pool and fill the servers' connection tables.
+        self.arrived += not request.retry
         if self.arrived == len(self.pool) and self.sweeps < 2:
-            self._gather(now)  # many requests: a start with few servers would refuse some of them
-        self.yielded *= 1 - SMOOTH
-        # A jam of the whole pool: rooms of single servers learn too slowly where each is met seldom.
-        taken = self.random() < self.admit and klass.name not in self.word.closed
-        (self._place if taken else self._give_up)(now, item)
+            # A burst right after the start: the small initial pool would refuse some of its requests.
+            self._gather(now)
+        self.answered_share *= 1 - SMOOTHING_WEIGHT
+        # Limits per server adapt too slowly to an overload of the whole pool if each server is used seldom.
+        admitted = self.random() < self.admit and klass.name not in self.word.closed
+        (self._place if admitted else self._give_up)(now, item)
         return self._done()
 
     def _place(self, now: int, item: Open) -> None:
-        """RIQ for a request that has nothing out."""
-        if not self._finishes(now, item):
+        """Sends a request that has no attempt in flight, by RIQ, or lets it wait."""
+        if not self._likely_to_finish(now, item):
             self._give_up(now, item)
             return
-        if not self.out:  # its share of the crowd is over, however few came since to show it
+        if not self.out:  # our part of the overload is over, even if too few requests came since to show it
             self.crowd *= 1 - 1 / self.settings.balancers
-        dear = self.crowd > item.record.value and not item.attempts
-        drawn = [] if dear else self._draw(now, item)
-        if now == item.arrived:  # those made to wait count as well placed: low classes alone are not starved
-            self.crowd = min(1.0, max(0.0, self.crowd + CROWD_STEP * ((not drawn and not dear) - CROWD_FREE)))
-        if not drawn:
-            self._hold(now, item)
+        shed = self.crowd > item.record.relative_worth and not item.attempts
+        sample = [] if shed else self._draw(now, item)
+        # Requests shed here count as sent, so that a class of low worth that comes alone is not starved.
+        if now == item.arrived:
+            self.crowd = min(
+                1.0,
+                max(
+                    0.0,
+                    self.crowd
+                    + OVERLOAD_SMOOTHING_WEIGHT * ((not sample and not shed) - OVERLOAD_TOLERATED_SHARE),
+                ),
+            )
+        if not sample:
+            self._wait_for_capacity(now, item)
             return
-        new = [s for s in drawn if not (s.heard or s.in_flight)]
-        idle = [s for s in drawn if self._idle(now, s)]
-        if self.random() * len(drawn) < len(new):
-            idle = new[:1]  # first contact as often as by random choice: else the few heard first keep all
-        idle.sort(key=lambda s: s.entry.zone != self.settings.zone)  # near before far, otherwise as drawn
+        new = [s for s in sample if not (s.has_answered or s.in_flight)]
+        idle = [s for s in sample if self._idle(now, s)]
+        if self.random() * len(sample) < len(new):
+            # As often as by random choice: else the few that answered first would get everything.
+            idle = new[:1]
+        # Our zone first, otherwise in sample order.
+        idle.sort(key=lambda s: s.entry.zone != self.settings.zone)
         if self.word.preferred:
             idle.sort(key=lambda s: s.entry.id not in self.word.preferred)
-        copies = 1  # unless idle servers are plenty: a copy would take one from the next request
+        copies = 1  # unless many servers are idle: a copy would take an idle one from the next request
         safe = (
             item.klass.idempotency is Idempotency.SAFE
             and self.settings.copies_allowed
@@ -643,34 +783,44 @@
         empty = [s for s in idle if not s.in_flight]
         if safe and len(empty) * 2 > DRAW:
             idle, copies = empty, max(1, item.most - 1 - len(item.attempts))
-        if self._tight(now, item):
-            # Idle enough is who is done in time behind what it has of ours: a quick one rather than a slow.
-            idle = sorted((s for s in drawn if s.heard), key=lambda s: s.ratio * (1 + s.in_flight))
+        if self._short_of_time(now, item):
+            # Take the server that is expected to answer first, after what it has of ours, idle or not.
+            idle = sorted(
+                (s for s in sample if s.has_answered), key=lambda s: s.latency_ratio * (1 + s.in_flight)
+            )
         idle = idle[:copies]
-        for server in idle or [drawn[int(self.random() * len(drawn))]]:
+        for server in idle or [sample[int(self.random() * len(sample))]]:
             self._send(now, item, server)
         self._watch_over(now, item)
 
-    def _tight(self, now: int, item: Open) -> bool:
-        return item.request.deadline - now < TIGHT * self._expected(item)
+    def _short_of_time(self, now: int, item: Open) -> bool:
+        return item.request.deadline - now < SHORT_TIME_LATENCY_FACTOR * self._expected(item)
 
     def _watch_over(self, now: int, item: Open) -> None:
+        """Schedules a delayed copy."""
         if item.klass.idempotency is not Idempotency.UNSAFE and self._may_send(now, item):
-            wait = int(max(PATIENCE * self._expected(item), WAIT_SHARE * item.klass.aim))
+            wait = int(
+                max(HEDGE_LATENCY_FACTOR * self._expected(item), MIN_HEDGE_DELAY_AIM_SHARE * item.klass.aim)
+            )
             self.acts.append(SetTimer("r:" + item.request.id, now + wait))
 
     def _expected(self, item: Open) -> float:
+        """Expected latency: the mean of the class, scaled by the request's cost hint."""
         record, hint = item.record, item.request.cost_hint
-        return record.usual * (hint / record.hint if hint and record.hint else 1.0)
+        return record.usual * (hint / record.mean_cost_hint if hint and record.mean_cost_hint else 1.0)
 
-    def _copy_late(self, now: int, item: Open) -> None:
-        """The delayed copy: prevents a stalled server from taking with it all that it holds."""
+    def _hedge(self, now: int, item: Open) -> None:
+        """Sends a delayed copy, so that a stalled server does not make all its requests late."""
         if self._may_send(now, item):
-            drawn = self._draw(now, item)
-            copy = next((s for s in drawn if self._idle(now, s)), None)
+            sample = self._draw(now, item)
+            copy = next((s for s in sample if self._idle(now, s)), None)
             last = max(a.sent for a in item.attempts)
-            if copy is None and now - last > OVERDUE * self._expected(item):  # its answer may be lost
-                copy = next((s for s in drawn if s.pace <= CALM and not self._says_busy(s)), None)
+            # The answer may be lost.
+            if copy is None and now - last > FORCED_HEDGE_LATENCY_FACTOR * self._expected(item):
+                copy = next(
+                    (s for s in sample if s.mean_latency_share <= IDLE_AIM_SHARE and not self._says_busy(s)),
+                    None,
+                )
             if copy is not None:
                 self._send(now, item, copy)
             self._watch_over(now, item)
@@ -680,39 +830,39 @@
         item.live += 1
         self.out += 1
         server.in_flight += 1
-        if server.answered and server.in_flight == 1:
-            server.quiet_since, server.answered = now, False
+        if server.answered_since_idle and server.in_flight == 1:
+            server.silent_since, server.answered_since_idle = now, False
         server.credit -= 1
         state = item.record.states.get(server)
         if state is None:
             item.record.states[server] = ClassState(1, now)
         else:
-            state.out += 1
-            if state.out == 1:
-                state.quiet_since = now
-        # What is late and worth nothing is called off at the aim: the server is freed for those in time.
+            state.in_flight += 1
+            if state.in_flight == 1:
+                state.silent_since = now
+        # An answer after the aim that is worth nothing is not waited for: this frees the server for others.
         timeout = 0 if item.klass.late_share else item.arrived + item.klass.aim - now
-        # What waits, for a connect or half written, must not become whole when its key may be forgotten: a
-        # repeat after the first, nor the first after a repeat.
+        # An attempt that waits for a connection or is half written must not be completed once servers may
+        # have forgotten its key: neither a repeat after the first attempt, nor the first after a repeat.
         anchor = item.anchor() if item.klass.idempotency is Idempotency.KEYED else None
         begin_by = anchor.sent + item.klass.window if anchor else 0
         self.acts.append(Send(item.request.id, server.entry.id, timeout, begin_by))
 
-    def _hold(self, now: int, item: Open) -> None:
-        """Nowhere to go: look again soon, and answer before an answer stops being worth waiting for."""
-        need = int(NEED * self._expected(item))  # what it will take: later than this it cannot be in time
+    def _wait_for_capacity(self, now: int, item: Open) -> None:
+        """No server has free capacity: samples again soon, and gives up once the aim cannot be met."""
+        need = int(MIN_TIME_LATENCY_FACTOR * self._expected(item))
         until = min(item.request.deadline - self.settings.step, item.arrived + item.klass.aim - need)
         barred = (self.banned or self.word.out) and not self.ready
         if now >= until or not self._may_send(now, item) or barred:
             self._give_up(now, item)
             return
-        again = now + int(item.klass.aim * HOLD_SHARE)
+        again = now + int(item.klass.aim * RECHECK_AIM_SHARE)
         self.acts.append(SetTimer("r:" + item.request.id, max(now + 1, min(again, until))))
 
     # ---- answer, cancel, retry ----
 
     def on_attempt_end(self, now: int, end: AttemptEnd) -> list[Action]:
-        """An attempt has come back: learned from, and followed by another where that may help."""
+        """An attempt has ended: updates the estimates, and sends another attempt where that may help."""
         item = self.open.get(end.request_id)
         if item is None or end.attempt >= len(item.attempts) or item.attempts[end.attempt].end is not None:
             return []
@@ -720,7 +870,7 @@
         attempt.end = end.outcome
         item.live -= 1
         self.out -= 1
-        self._learn(now, item, attempt.server, end)
+        self._record_end(now, item, attempt.server, end)
         if end.final and not item.closed:
             self._close(item)
         elif not item.closed and not item.live:
@@ -729,7 +879,7 @@
         return self._done()
 
     def on_stream_started(self, now: int, request_id: str, attempt: int) -> list[Action]:
-        """A long answer has begun: its attempt is the one that counts, whatever else comes."""
+        """A streamed answer has begun: its attempt gives the answer, the others are cancelled."""
         item = self.open.get(request_id)
         if item is not None and not item.closed:
             item.streaming = True
@@ -737,7 +887,7 @@
         return self._done()
 
     def on_client_gone(self, now: int, request_id: str) -> list[Action]:
-        """Nobody waits for the answer any more."""
+        """The client has left and does not wait for the answer any more."""
         item = self.open.get(request_id)
         if item is not None and not item.closed:
             self._close(item)
@@ -757,7 +907,7 @@
             self.open.pop(item.request.id, None)
 
     def _give_up(self, now: int, item: Open) -> None:
-        """The final answer that no server gave: refused where that is true to the client, else failed."""
+        """Gives a final answer without a server's: `Refuse` if a retry does no harm, else `Fail`."""
         kind = item.klass.idempotency
         everywhere = kind is Idempotency.KEYED and item.klass.scope is Scope.ALL
         known = (kind is Idempotency.SAFE or everywhere) and not self.word.doubtful
@@ -767,121 +917,141 @@
         self._close(item)
 
     def _advice(self, item: Open) -> int:
-        """When to come back: soon, while a retry can still be in time; later the fewer are let in."""
-        advice = item.klass.aim * ADVICE_SHARE / min(1.0, self.admit)
+        """When to retry: soon, while that can still be in time; later if few requests are admitted."""
+        advice = item.klass.aim * RETRY_ADVICE_AIM_SHARE / min(1.0, self.admit)
         return int(min(advice, self.settings.retry_advice_limit))
 
-    # ---- health ----
+    # ---- what is learned from the end of an attempt ----
 
-    def _learn(self, now: int, item: Open, server: Server, end: AttemptEnd) -> None:
-        self._judge(now, item, server, end)
+    def _record_end(self, now: int, item: Open, server: Server, end: AttemptEnd) -> None:
+        self._update_server(now, item, server, end)
         server.in_flight -= 1
         record = item.record
         state = record.states[server]
-        self._judge_class_state(now, item, state, end)
-        if not (state.out or state.failures):
+        self._update_class_state(now, item, state, end)
+        if not (state.in_flight or state.failures):
             del record.states[server]
         if end.report is not None:
-            server.report, server.reported = end.report, now
-        if end.outcome in ANSWERS:
-            server.quiet_since, server.answered = now, True
+            server.report, server.reported_at = end.report, now
+        if end.outcome in SERVER_ANSWERS:
+            server.silent_since, server.answered_since_idle = now, True
         if end.outcome is Outcome.OK:
-            server.heard, server.credit = True, server.credit + SAFETY  # it does more than it must by now
-            server.ratio += PACE_SMOOTH * (min(end.latency / max(1, record.usual), 4.0) - server.ratio)
-            record.usual += SMOOTH * (end.latency - record.usual)
+            # It can do more than the guaranteed least.
+            server.has_answered, server.credit = True, server.credit + SAFETY
+            server.latency_ratio += SERVER_SMOOTHING_WEIGHT * (
+                min(end.latency / max(1, record.usual), 4.0) - server.latency_ratio
+            )
+            record.usual += SMOOTHING_WEIGHT * (end.latency - record.usual)
             hint = item.request.cost_hint
-            record.hint += (SMOOTH if record.hint else 1.0) * (hint - record.hint)
-            self.yielded += SMOOTH
+            record.mean_cost_hint += (SMOOTHING_WEIGHT if record.mean_cost_hint else 1.0) * (
+                hint - record.mean_cost_hint
+            )
+            self.answered_share += SMOOTHING_WEIGHT
 
-    def _judge_class_state(self, now: int, item: Open, state: ClassState, end: AttemptEnd) -> None:
-        state.out -= 1
-        if end.outcome in ANSWERS or end.outcome is Outcome.RESET:
-            state.quiet_since = now
+    def _update_class_state(self, now: int, item: Open, state: ClassState, end: AttemptEnd) -> None:
+        state.in_flight -= 1
+        if end.outcome in SERVER_ANSWERS or end.outcome is Outcome.RESET:
+            state.silent_since = now
         if end.outcome is Outcome.OK:
-            state.failures, state.rest_until = 0, 0
+            state.failures, state.backoff_until = 0, 0
         elif end.outcome in (Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET):
             state.failures += 1
-            if state.failures >= HUNG:
-                rest = item.klass.aim * 2 ** min(state.failures - HUNG, LONGEST)
-                state.rest_until = now + int(rest * (0.5 + self.random()))
+            if state.failures >= HANG_THRESHOLD:
+                backoff = item.klass.aim * 2 ** min(state.failures - HANG_THRESHOLD, MAX_BACKOFF_DOUBLINGS)
+                state.backoff_until = now + int(backoff * (0.5 + self.random()))
 
-    def _judge(self, now: int, item: Open, server: Server, end: AttemptEnd) -> None:
+    def _update_server(self, now: int, item: Open, server: Server, end: AttemptEnd) -> None:
+        """Adjusts the admitted share and the server's latency, concurrency limit and ejection."""
         share = end.latency / item.klass.aim
-        quick = share <= GOOD_SHARE
-        if end.outcome is Outcome.OK or share > server.pace:
-            server.pace += PACE_SMOOTH * (min(share, 2.0) - server.pace)
-        stall = end.outcome in LATE and (quick or self._says_free(now, server))  # or withdrawn early
-        if end.outcome in LATE and not stall:
-            self.admit = max(LEAST_ADMIT, self.admit - ADMIT_DOWN)
+        quick = share <= QUICK_AIM_SHARE
+        if end.outcome is Outcome.OK or share > server.mean_latency_share:
+            server.mean_latency_share += SERVER_SMOOTHING_WEIGHT * (
+                min(share, 2.0) - server.mean_latency_share
+            )
+        # A single stall, or a copy cancelled early, and no overload.
+        stall = end.outcome in LATE_OUTCOMES and (quick or self._says_free(now, server))
+        if end.outcome in LATE_OUTCOMES and not stall:
+            self.admit = max(MIN_ADMISSION, self.admit - ADMISSION_STEP_DOWN)
         if end.outcome is Outcome.OK and quick:
-            self.admit = min(MOST_ADMIT, self.admit + ADMIT_UP)
-            if server.in_flight > server.room - 1 and share <= self.easy and not self._says_busy(server):
-                # A room below one is a share of the time and grows in proportion, as it is cut, at any size.
-                grow = GROW / self._sharing(len(self.pool), len(self.ready))
-                server.room += min(max(REGROW, grow) * server.room, grow / server.room)
+            self.admit = min(MAX_ADMISSION, self.admit + ADMISSION_STEP_UP)
+            if (
+                server.in_flight > server.concurrency_limit - 1
+                and share <= self.growth_latency_share
+                and not self._says_busy(server)
+            ):
+                # A limit below one is a share of the time. It grows in proportion to itself, as it is cut,
+                # however many instances there are.
+                grow = LIMIT_GROWTH / self._sharing(len(self.pool), len(self.ready))
+                server.concurrency_limit += min(
+                    max(MIN_RECOVERY_RATE, grow) * server.concurrency_limit, grow / server.concurrency_limit
+                )
         elif not stall and end.outcome is not Outcome.NOT_SENT:
-            # Errors count like lateness: quick ones would else make the server look free.
+            # Errors count like late answers: quick errors would otherwise make the server look free.
             usual = item.record.usual
-            if now - server.cut_at >= usual:  # one slow spell shows on all attempts it held: it counts once
-                server.cut_at = now
-                server.room = max(LEAST_ROOM, server.room * CUT)
-            rest = max(end.latency, usual) * (1 / server.room - 1)
+            # One slow phase affects all attempts at it: it counts once.
+            if now - server.limit_cut_at >= usual:
+                server.limit_cut_at = now
+                server.concurrency_limit = max(MIN_LIMIT, server.concurrency_limit * LIMIT_CUT_FACTOR)
+            ejection = max(end.latency, usual) * (1 / server.concurrency_limit - 1)
             if end.outcome is Outcome.FULL:
-                rest = max(rest, usual)  # its refusals come at once and would keep it the freest of all
+                # It rejects immediately, so it would always look like the freest server.
+                ejection = max(ejection, usual)
             if end.outcome is Outcome.CONNECT_FAILED:
-                server.rank += 1  # dead, or its connections are all taken by others: left to them
+                server.pool_rank += 1  # dead, or its connection table is full: drops out of our pool
                 self.sorted = False
-            # Less than one at a time: many balancers with one attempt each do not jam a server.
-            server.rest_until = max(server.rest_until, now + int(rest))
+            # A limit below one: ejects the server for a time, so that one attempt of each of many balancers
+            # does not overload it.
+            server.rest_until = max(server.rest_until, now + int(ejection))
 
-    # ---- cold budget ----
+    # ---- slow start of cold servers ----
 
     def _cold(self, now: int, server: Server) -> bool:
         return server.entry.started > 0 and now < server.entry.started + self.settings.cold_time
 
     def _warmth(self, now: int, server: Server) -> float:
-        """Least share of its capacity that a server has by now."""
+        """The least share of its full capacity that a server has by now."""
         if not self._cold(now, server):
             return 1.0
         cold = self.settings.cold_share
         return cold + (1 - cold) * max(0, now - server.entry.started) / self.settings.cold_time
 
     def _cold_room(self, now: int, server: Server) -> bool:
-        """Whether a cold server may be sent one more attempt: rule 4 over any number of balancers.
+        """Whether a cold server may be sent one more attempt without all balancers together overloading it.
 
-        Credit grows with each request, so that the server gets from each instance at most a part of
-        multiple x warmth of the work that one of its servers answers on average, and from all together no
-        more than that part of what a whole one carries (_used says which). It starts at random, so that
-        the instances take turns where the share of each is far below one attempt a window, and what is
-        not used lapses.
+        Credit grows with each request. A warm server answers some amount of work on average; of that amount
+        times `overload_multiple` times its warmth the cold server gets, from each instance, at most the part
+        that `_used` returns, and so no more than that part from all together. Credit starts at random, so
+        that instances whose share is far below one attempt a window take turns. Unused credit lapses.
         """
         if not self._cold(now, server):
             return True
-        served = max(self.yielded, ROOM / self.settings.balancers)  # at least so much, or none would begin
-        bears = self.settings.overload_multiple * self._warmth(now, server) * served
-        bears *= server.entry.weight / self.mean_weight / self.whole
-        bears *= self._used(bears * self.arrivals * self._sharing(len(self.pool), len(self.ready)))
-        server.credit += bears * (self.arrived - server.credited)
+        # Not 0, or no server would get a first attempt.
+        served = max(self.answered_share, INITIAL_LIMIT / self.settings.balancers)
+        rate = self.settings.overload_multiple * self._warmth(now, server) * served
+        rate *= server.entry.weight / self.mean_weight / self.whole
+        rate *= self._used(rate * self.arrivals * self._sharing(len(self.pool), len(self.ready)))
+        server.credit += rate * (self.arrived - server.credited)
         server.credited = self.arrived
-        most = 1 + bears * self.arrivals * LAPSE
+        most = 1 + rate * self.arrivals * CREDIT_WINDOW_SHARE
         if server.credit > most:
             server.credit = most if most > 2 else server.credit % 1
         return server.credit >= 1
 
     @staticmethod
     def _used(limit: float) -> float:
-        """The part u of a budget of so many requests a window that leaves room for chance.
+        """The part u of a budget of `limit` requests a window that may be used in spite of random variation.
 
-        u + CHANCE x sqrt(u / limit) = 1, solved for u: the work of so many requests of exponential size
-        varies so; CHANCE is half as much again as those need, as sizes may vary more and are not told.
+        Solves u + CHANCE x sqrt(u / limit) = 1 for u: the second term is the variation of the work of that
+        many requests with exponentially distributed sizes. CHANCE is one and a half times what those need, as
+        real sizes may vary more and are unknown.
         """
-        spread = float(CHANCE / max(limit, 1.0) ** 0.5)
-        return min(MOST_USED, float((spread * spread + 4) ** 0.5 - spread) ** 2 / 4)
+        deviation = float(CHANCE / max(limit, 1.0) ** 0.5)
+        return min(MOST_USED, float((deviation * deviation + 4) ** 0.5 - deviation) ** 2 / 4)
 
     # ---- timers ----
 
     def on_timer(self, now: int, token: str) -> list[Action]:
-        """A timer that was set has come due; tokens that mean nothing any more are passed over."""
+        """A timer has fired; tokens of requests that are answered are ignored."""
         if token == "sweep":
             self._sweep(now)
             self.acts.append(SetTimer("sweep", now + int(self.settings.overload_window * SWEEP_SHARE)))
@@ -890,23 +1060,28 @@
         elif token.startswith("r:"):
             item = self.open.get(token[2:])
             if item is not None and not item.closed:
-                (self._copy_late if item.live else self._place)(now, item)
+                (self._hedge if item.live else self._place)(now, item)
         return self._done()
 
     def _sweep(self, now: int) -> None:
         self.sweeps += 1
-        fresh = max(SMOOTH, 1 / max(1, self.sweeps - 1))  # before there is a mean to smooth, the plain mean
-        self.arrivals += fresh * ((self.arrived - self.swept) / SWEEP_SHARE - self.arrivals)
-        self.swept = self.arrived
+        weight = max(SMOOTHING_WEIGHT, 1 / max(1, self.sweeps - 1))  # a plain mean of the first few sweeps
+        self.arrivals += weight * ((self.arrived - self.arrived_at_sweep) / SWEEP_SHARE - self.arrivals)
+        self.arrived_at_sweep = self.arrived
         self.cold = [s for s in self.cold if self._cold(now, s)]
         self._gather(now)
-        # Prevents rooms that grow through an overload, and all servers with them, from ending in a jam.
-        # While servers warm up help is on its way, and larger rooms bridge the time until then.
-        self.easy = EASY * (SOFTER if self.cold else 1 - HARDER * self.crowd)
-        self._appraise()
-        if not self.out:  # nor does it know of a jam, but the others may, and all open at once
+        # In an overload only quicker answers raise limits, which would otherwise grow until all servers are
+        # overloaded. While servers warm up, more capacity is on its way, and larger limits bridge that time.
+        self.growth_latency_share = GROWTH_AIM_SHARE * (
+            WARM_UP_GROWTH_FACTOR if self.cold else 1 - OVERLOAD_GROWTH_CUT * self.crowd
+        )
+        self._update_relative_worth()
+        # Nothing tells us of an overload, but others may see one, and all would admit at once.
+        if not self.out:
             self.admit += max(0.0, 1 - self.admit) / self.settings.balancers
-        self.returned = {n: ban for n, ban in self.returned.items() if now < ban[1] + self.settings.cold_time}
+        self.ended_bans = {
+            n: ban for n, ban in self.ended_bans.items() if now < ban[1] + self.settings.cold_time
+        }
         count = len(self.servers)
         if len(self.ready) < count:
             self.servers = {
@@ -914,27 +1089,27 @@
                 for n, s in self.servers.items()
                 if s.entry.state is not ServerState.GONE or s.in_flight or self._cold(now, s)
             }
-        if self.replaced or len(self.servers) < count:
+        if self.server_replaced or len(self.servers) < count:
             self._drop_stale_states()
 
     def _drop_stale_states(self) -> None:
-        """Those of servers that are gone, or another process by now, but for attempts that are still out."""
-        self.replaced = False
+        """Drops class states of servers that left or restarted, unless attempts are still in flight there."""
+        self.server_replaced = False
         for record in self.records:
             for server, state in list(record.states.items()):
                 if self.servers.get(server.entry.id) is not server:
-                    if state.out:
-                        self.replaced = True  # looked at again in the next sweep
+                    if state.in_flight:
+                        self.server_replaced = True  # checked again in the next sweep
                     else:
                         del record.states[server]
 
-    def _appraise(self) -> None:
-        """Worth of each class per work; where the worst class counts much, none is worth giving up."""
-        live, by_work = self.live, self.settings.worth_by_work
-        worths = [max(record.klass.worth, 1e-9) for record in live]
-        costs = [1.0 if by_work else record.usual for record in live]
+    def _update_relative_worth(self) -> None:
+        """Worth of each class per unit of work; the more `fairness` weighs, the less the classes differ."""
+        in_force, by_work = self.records_in_force, self.settings.worth_by_work
+        worths = [max(record.klass.worth, 1e-9) for record in in_force]
+        costs = [1.0 if by_work else record.usual for record in in_force]
         cost, worth = sum(costs), sum(worths)
         per_work = [one / costs[n] * cost / worth for n, one in enumerate(worths)]
-        fair, best = self.settings.fairness * len(live), max(per_work, default=1.0)
-        for record, one in zip(live, per_work, strict=True):
-            record.value = min(1.0, (one + fair) / best)
+        fair, best = self.settings.fairness * len(in_force), max(per_work, default=1.0)
+        for record, one in zip(in_force, per_work, strict=True):
+            record.relative_worth = min(1.0, (one + fair) / best)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -62,7 +62,7 @@
     made.announce(ListKind.DELTA, entry(1, started=began + S))  # it has now
     assert balancer.servers[1].entry.started == began + S
     made.advance(30 * S)
-    assert not balancer._cold(made.now, balancer.servers[1]) and not balancer.returned
+    assert not balancer._cold(made.now, balancer.servers[1]) and not balancer.ended_bans
 
 
 def test_a_start_that_the_list_told_during_the_ban_is_kept() -> None:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -115,9 +115,9 @@
 def test_a_restart_is_a_cold_server_whose_past_is_dropped() -> None:
     world = fleet(2)
     warm_up(world)
-    assert any(s.heard for s in world.balancer.servers.values())
+    assert any(s.has_answered for s in world.balancer.servers.values())
     world.announce(ListKind.DELTA, entry(0, started=world.now - 10 * MS))
-    assert not world.balancer.servers[0].heard
+    assert not world.balancer.servers[0].has_answered
     world.announce(ListKind.DELTA, entry(0, started=world.now - 10 * MS))
     world.settle()
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.harness import CLASSES, MS, Seen, World, entry, make_settings
-from dykeshift.rules import MOST_ADMIT
+from dykeshift.rules import MAX_ADMISSION
 from dykeshift.interface import ListKind, LoadReport, Outcome, Request, Send
 
 
@@ -122,7 +122,7 @@
         world.advance(10 * MS)
         for rid in rids:
             world.end_all(rid)
-    rooms = [s.room for s in world.balancer.servers.values()]
+    rooms = [s.concurrency_limit for s in world.balancer.servers.values()]
     world.settle()
     return sum(rooms) / len(rooms)
 
@@ -147,7 +147,7 @@
                     server = world.requests[rid].servers[n]
                     world.end(rid, n, Outcome.OK, busy if server == 0 else None)
     servers = world.balancer.servers
-    assert servers[0].room < servers[1].room / 2
+    assert servers[0].concurrency_limit < servers[1].concurrency_limit / 2
     world.settle()
 
 
@@ -209,7 +209,7 @@
         rid = world.submit(2)
         world.advance(10 * MS)
         world.end_all(rid)
-    assert all(s.heard for s in world.balancer.servers.values())
+    assert all(s.has_answered for s in world.balancer.servers.values())
     world.settle()
 
 
@@ -237,12 +237,12 @@
 def test_first_trust_is_a_share_and_later_servers_are_trusted_like_the_others() -> None:
     """Incident ibd67e9: eleven balancers filled every core within the first two seconds of an overload."""
     world = fleet(3, balancers=16)
-    start = world.balancer.servers[0].room
+    start = world.balancer.servers[0].concurrency_limit
     assert start * 16 < 6
     warm_up(world, 200, klass=2)
     world.announce(ListKind.DELTA, entry(9))
-    rooms = [world.balancer.servers[n].room for n in range(3)]
-    assert start < sum(rooms) / 3 == world.balancer.servers[9].room
+    rooms = [world.balancer.servers[n].concurrency_limit for n in range(3)]
+    assert start < sum(rooms) / 3 == world.balancer.servers[9].concurrency_limit
     world.settle()
 
 
@@ -255,14 +255,14 @@
         world.balancer.crowd = 1.0
         world.advance(400 * MS)  # the sweep sees the crowd
         world.balancer.crowd = 1.0
-        before = world.balancer.servers[0].room
+        before = world.balancer.servers[0].concurrency_limit
         for _ in range(4):
             for _ in range(6):
                 world.submit(2)
             world.advance(120 * MS)  # .3 of the aim: quick enough without a crowd
             for rid, n in world.out():
                 world.end(rid, n, Outcome.OK)
-        assert (world.balancer.servers[0].room > before) is grows
+        assert (world.balancer.servers[0].concurrency_limit > before) is grows
         world.settle()
 
 
@@ -283,7 +283,7 @@
         rid = world.submit(2)
         world.advance(40 * MS)
         world.end_all(rid)
-    assert world.balancer.admit == MOST_ADMIT, "quick answers open it again"
+    assert world.balancer.admit == MAX_ADMISSION, "quick answers open it again"
 
 
 def test_late_attempts_at_a_server_with_free_cores_cost_it_nothing() -> None:
@@ -297,7 +297,7 @@
             for n, end in enumerate(world.requests[rid].ends):
                 if end is None:
                     world.end(rid, n, Outcome.OK, LoadReport(utilization=utilization))
-        rooms.append(sum(s.room for s in world.balancer.servers.values()))
+        rooms.append(sum(s.concurrency_limit for s in world.balancer.servers.values()))
         world.settle()
     assert rooms[0] > 2 * rooms[1]
 
@@ -306,12 +306,12 @@
     """cardiff-push: rooms grew by 2/N of themselves and fell by a fifth; no server ever recovered."""
     world = fleet(4, balancers=300)
     server = world.balancer.servers[0]
-    before = server.room
+    before = server.concurrency_limit
     for _ in range(120):
         rid = world.submit(2)
         world.advance(40 * MS)
         world.end_all(rid)
-    assert server.room > 10 * before
+    assert server.concurrency_limit > 10 * before
     world.settle()
 
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -31,7 +31,7 @@
     Settings,
     SetTimer,
 )
-from dykeshift.rules import HUNG, Balancer, ClassRecord, Placement, assign_places
+from dykeshift.rules import HANG_THRESHOLD, Balancer, ClassRecord, Placement, assign_places
 from dykeshift.settings import narrower
 from tests.harness import CLASSES, MS, S, World, entry, make_settings
 from tests.seeded import Defect, defect_tests, patched
@@ -313,14 +313,14 @@
         for item in self.world.balancer.open.values():
             out.update((item.request.klass, a.server.entry.id) for a in item.attempts if a.end is None)
         found = {
-            (place, server.entry.id): state.out
+            (place, server.entry.id): state.in_flight
             for place, record in enumerate(self.world.balancer.records)
             for server, state in record.states.items()
-            if state.out
+            if state.in_flight
         }
         assert found == out
         for record in self.world.balancer.records:
-            assert all(state.out or state.failures for state in record.states.values())
+            assert all(state.in_flight or state.failures for state in record.states.values())
 
     @invariant()
     def places_are_few(self) -> None:
@@ -460,11 +460,11 @@
     world = World(make_settings(classes=CLASSES[:2], balancers=1))
     world.announce(ListKind.FULL, *(entry(n) for n in range(3)))
     record = world.balancer.records[0]
-    record.usual, record.hint = 111.0 * MS, 7.0
+    record.usual, record.mean_cost_hint = 111.0 * MS, 7.0
     for server in world.balancer.servers.values():
-        server.room = 10.0
+        server.concurrency_limit = 10.0
     failing = world.balancer.servers[0]
-    for n in range(HUNG + 1):
+    for n in range(HANG_THRESHOLD + 1):
         rid = f"f{n}"
         request = Request(rid, 0, world.now + S)
         item = world.balancer.open[rid] = rules.Open(request, record.klass, record, world.now, 1)
@@ -472,7 +472,10 @@
         ended = AttemptEnd(rid, 0, 0, Outcome.ERROR, 50 * MS, True)
         world.balancer.on_attempt_end(world.now, ended)
     world.balancer.acts.clear()
-    assert record.states[failing].failures == HUNG + 1 and record.states[failing].rest_until > world.now
+    assert (
+        record.states[failing].failures == HANG_THRESHOLD + 1
+        and record.states[failing].backoff_until > world.now
+    )
     return world, record.klass
 
 
@@ -482,7 +485,11 @@
     world.balancer.on_settings(world.now, make_settings(classes=(other, CLASSES[1])))
     assert world.balancer.settings.classes == (other, CLASSES[1])
     fresh = world.balancer.records[0]
-    assert (fresh.usual, fresh.hint, fresh.states) == (other.aim * rules.FIRST_GUESS, 0.0, {})
+    assert (fresh.usual, fresh.mean_cost_hint, fresh.states) == (
+        other.aim * rules.INITIAL_LATENCY_AIM_SHARE,
+        0.0,
+        {},
+    )
 
 
 def a_class_with_new_terms_goes_on_with_what_was_learned() -> None:
@@ -493,7 +500,7 @@
         old, failing = balancer.records[0], balancer.servers[0]
         rid = world.submit(0) if under_way else ""
         states = {
-            server: replace(state, out=0, quiet_since=0)
+            server: replace(state, in_flight=0, silent_since=0)
             for server, state in old.states.items()
             if state.failures
         }
@@ -501,14 +508,14 @@
         place = balancer.settings.classes.index(changed(klass, 1))
         assert place == (2 if under_way else 0)
         new = balancer.records[place]
-        assert (new.usual, new.hint) == (old.usual, old.hint)
-        assert {s: replace(state, quiet_since=0) for s, state in new.states.items()} == states
+        assert (new.usual, new.mean_cost_hint) == (old.usual, old.mean_cost_hint)
+        assert {s: replace(state, silent_since=0) for s, state in new.states.items()} == states
         if under_way:
             assert balancer.open[rid].record is old
             world.end(rid, 0, Outcome.OK)
-            assert old.usual != new.usual and sum(state.out for state in new.states.values()) == 0
+            assert old.usual != new.usual and sum(state.in_flight for state in new.states.values()) == 0
             old.states[failing].failures += 5
-            assert new.states[failing].failures == HUNG + 1
+            assert new.states[failing].failures == HANG_THRESHOLD + 1
 
 
 def test_a_new_class_has_nothing_of_the_one_whose_place_it_takes() -> None:
--- a/tests/test_word.py
+++ b/tests/test_word.py
@@ -36,7 +36,7 @@
     balancer = Balancer(make_settings(classes=(klass(kind),)), 1)
     balancer.on_list(0, ServerList(ListKind.FULL, tuple(entry(n) for n in range(8))))
     for server in balancer.servers.values():
-        server.heard = True
+        server.has_answered = True
     return balancer
 
 
