--- a/dykeshift/__init__.py
+++ b/dykeshift/__init__.py
@@ -1,3 +1,3 @@
-"""dykeshift: the decisions of a load-balancing proxy, free of input and output."""
+"""dykeshift: a load balancer for HTTP and MLLP, with its decision module, simulators and tools."""
 
 __version__ = "0.1.0"
--- a/dykeshift/benchlink.py
+++ b/dykeshift/benchlink.py
@@ -1,6 +1,6 @@
-"""Adapter between the simulator's wire and the decision module: translates, hosts instances, decides nothing.
+"""Adapter between a simulator's line protocol and the decision module, of which it hosts several instances.
 
-Run as `python -m dykeshift.benchlink`. Standard output carries the wire only.
+Run as `python -m dykeshift.benchlink`. Standard output carries the protocol only.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
     "ecanceled": Outcome.CANCELLED,
     "skipped": Outcome.NOT_SENT,
 }
-_FIELDS = {  # parts of each event line, its name included
+_FIELDS = {  # number of fields of each event line, including its name
     "CONFIGURE": 4,
     "SHUTDOWN": 2,
     "ANNOUNCE": 5,
@@ -63,7 +63,7 @@
 }
 
 
-def _int(text: str) -> int:
+def _int_or_zero(text: str) -> int:
     return 0 if text == "-" else int(text)
 
 
@@ -91,10 +91,10 @@
 
 
 class DecisionError(Exception):
-    """The decision code itself failed."""
+    """The decision module raised an exception."""
 
 
-def _decide(method: Callable[..., list[Action]], *args: Any) -> list[Action]:
+def _call_module(method: Callable[..., list[Action]], *args: Any) -> list[Action]:
     try:
         return method(*args)
     except Exception as exc:
@@ -102,18 +102,18 @@
 
 
 def _submit(balancer: Balancer, now: int, parts: list[str], entries: list[list[str]]) -> list[Action]:
-    if not 0 <= _int(parts[6]) < len(balancer.settings.classes):
+    if not 0 <= _int_or_zero(parts[6]) < len(balancer.settings.classes):
         raise Malformed(f"kind {parts[6]} is no class of the settings")
     request = Request(
         id=parts[2],
-        klass=_int(parts[6]),
+        klass=_int_or_zero(parts[6]),
         deadline=int(parts[8]),
-        cost_hint=_int(parts[7]),
+        cost_hint=_int_or_zero(parts[7]),
         retry=parts[5] == "1",
-        tenant=_int(parts[4]),
+        tenant=_int_or_zero(parts[4]),
         key=None if parts[9] == "-" else parts[9],
     )
-    return _decide(balancer.on_request, now, request)
+    return _call_module(balancer.on_request, now, request)
 
 
 def _answer(balancer: Balancer, now: int, parts: list[str], entries: list[list[str]]) -> list[Action]:
@@ -122,65 +122,65 @@
         attempt=int(parts[3]),
         server=int(parts[4]),
         outcome=word(_OUTCOMES, parts[5], "how"),
-        latency=_int(parts[6]),
+        latency=_int_or_zero(parts[6]),
         final=parts[7] == "1",
         report=_report(parts[8]),
     )
-    return _decide(balancer.on_attempt_end, now, end)
+    return _call_module(balancer.on_attempt_end, now, end)
 
 
-def _reminder(balancer: Balancer, now: int, parts: list[str], entries: list[list[str]]) -> list[Action]:
-    return _decide(balancer.on_timer, now, parts[2])
+def _timer(balancer: Balancer, now: int, parts: list[str], entries: list[list[str]]) -> list[Action]:
+    return _call_module(balancer.on_timer, now, parts[2])
 
 
 def _gone(balancer: Balancer, now: int, parts: list[str], entries: list[list[str]]) -> list[Action]:
-    return _decide(balancer.on_client_gone, now, parts[2])
+    return _call_module(balancer.on_client_gone, now, parts[2])
 
 
 def _streaming(balancer: Balancer, now: int, parts: list[str], entries: list[list[str]]) -> list[Action]:
-    return _decide(balancer.on_stream_started, now, parts[2], int(parts[3]))
+    return _call_module(balancer.on_stream_started, now, parts[2], int(parts[3]))
 
 
 def _announce(balancer: Balancer, now: int, parts: list[str], entries: list[list[str]]) -> list[Action]:
     rows = tuple(
         ServerEntry(
             id=int(row[5]),
-            zone=_int(row[7]),
-            cell=_int(row[1]),
-            kind=_int(row[2]),
+            zone=_int_or_zero(row[7]),
+            cell=_int_or_zero(row[1]),
+            kind=_int_or_zero(row[2]),
             state=word(_STATES, row[3], "availability"),
             weight=1.0 if row[4] == "-" else float(row[4]),
-            started=_int(row[6]),
+            started=_int_or_zero(row[6]),
         )
         for row in entries
     )
-    return _decide(balancer.on_list, now, ServerList(word(_LIST_KINDS, parts[3], "kind"), rows))
+    return _call_module(balancer.on_list, now, ServerList(word(_LIST_KINDS, parts[3], "kind"), rows))
 
 
-# Not among them: PROBE_DONE and NEIGHBOUR_SAYS, as this module sends no probes and no messages.
+# PROBE_DONE and NEIGHBOUR_SAYS are ignored: this module sends no probes and no messages to neighbours.
 _HANDLERS = {
     "SUBMIT": _submit,
     "ANSWER": _answer,
-    "REMINDER": _reminder,
+    "REMINDER": _timer,
     "GONE": _gone,
     "STREAMING": _streaming,
     "ANNOUNCE": _announce,
 }
 
 
-class Link:
-    """Hosts the instances and turns one batch into one reply."""
+class InstanceHost:
+    """Hosts the instances and passes each event to the one that it is for."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
 
     def event(self, now: int, parts: list[str], entries: list[list[str]]) -> list[Action]:
-        """Give one event to its instance; what it wants done comes back."""
+        """Passes one event to its instance and returns the actions."""
         name, instance = parts[0], int(parts[1])
         if name == "CONFIGURE":
             seed, settings = int(parts[2]), read_settings(parts[3])
             self.instances[instance] = Balancer(settings, seed)
-            return _decide(self.instances[instance].on_start, now)
+            return _call_module(self.instances[instance].on_start, now)
         if name == "SHUTDOWN":
             self.instances.pop(instance, None)
             return []
@@ -191,7 +191,7 @@
         return handler(balancer, now, parts, entries) if handler is not None else []
 
 
-def _split(line: str, number: int) -> list[str]:
+def _split_fields(line: str, number: int) -> list[str]:
     name = line.partition("\t")[0]
     count = _FIELDS.get(name)
     if count is None:
@@ -202,19 +202,19 @@
     return parts
 
 
-def _sync(head: str, number: int) -> tuple[int, str]:
-    """The time (nanoseconds) and the number of a batch, from its first line."""
+def _parse_sync(head: str, number: int) -> tuple[int, str]:
+    """The time in nanoseconds and the number of a batch, from its first line."""
     sync = head.split("\t")
     if sync[0] != "SYNC" or len(sync) != 3 or not sync[1].isdigit() or not sync[2].isdigit():
         raise Malformed(f"line {number}: expected SYNC, clock time and batch number, got {head[:60]!r}")
     return int(sync[1]), sync[2]
 
 
-def _take(
-    link: Link, now: int, number: int, line: str, lines: Iterator[tuple[int, str]], out: list[str]
+def _handle_event(
+    host: InstanceHost, now: int, number: int, line: str, lines: Iterator[tuple[int, str]], out: list[str]
 ) -> int:
-    """Answer the event that begins with this line; returns the number of its last line."""
-    parts, where = _split(line, number), number
+    """Handles the event that begins with this line; returns the number of its last line."""
+    parts, where = _split_fields(line, number), number
     try:
         if parts[0] == "M":
             raise Malformed("list entry outside an ANNOUNCE")
@@ -223,8 +223,8 @@
             where, row = next(lines, (where, ""))
             if row.partition("\t")[0] != "M":
                 raise Malformed("expected a list entry M")
-            entries.append(_split(row, where))
-        _encode(int(parts[1]), link.event(now, parts, entries), out)
+            entries.append(_split_fields(row, where))
+        _encode(int(parts[1]), host.event(now, parts, entries), out)
     except DecisionError as fault:
         out.append(f"BUG\t{parts[1]}\t{fault}\n".replace("\r", " "))
     except Malformed as exc:
@@ -236,11 +236,11 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batch after batch until the input ends."""
-    link = Link()
+    """Answers one batch after another until the input ends."""
+    host = InstanceHost()
     lines: Iterator[tuple[int, str]] = enumerate((raw.rstrip("\r\n") for raw in source), 1)
     for number, head in lines:
-        now, batch = _sync(head, number)
+        now, batch = _parse_sync(head, number)
         out = list[str]()
         while True:
             number, line = next(lines, (number, ""))
@@ -248,15 +248,15 @@
                 break
             if not line:
                 raise Malformed(f"line {number}: batch {batch} was cut short, expected an event or END")
-            number = _take(link, now, number, line, lines, out)
+            number = _handle_event(host, now, number, line, lines, out)
         out.append(f"END\t{batch}\n")
         sink.write("".join(out))
         sink.flush()
 
 
 def main() -> int:
-    """Serve standard input until it ends. Returns 2, with one line on standard error, for malformed input."""
-    gc.disable()  # the module makes no cycles; a collection in mid-batch would only cost time
+    """Serves standard input until it ends. Returns 2, with one line on standard error, for invalid input."""
+    gc.disable()  # the module creates no reference cycles; a collection would only cost time
     try:
         serve(sys.stdin, sys.stdout)
     except Malformed as exc:
--- a/dykeshift/clock.py
+++ b/dykeshift/clock.py
@@ -1,7 +1,7 @@
-"""What the program asks of the machine beside its event loop: two clocks, and what waits on a socket.
+"""Operating system services besides the event loop: two clocks and the state of sockets.
 
-They are handed in at construction, so that the same code runs on a virtual machine (`dykeshift.sim`).
-Timers and the loop's own time come from the loop, which is handed in likewise.
+They are passed in at construction, so that the same code runs on a simulated machine (`dykeshift.sim`).
+Timers and the loop's own time come from the event loop, which is passed in likewise.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 
 
 class Clock(Protocol):
-    """The machine's clocks, and what its kernel knows of a socket."""
+    """The machine's clocks, and the state of a socket according to its kernel."""
 
     def monotonic_ns(self) -> int:
-        """Nanoseconds on the clock that deadlines are counted on; it never runs backwards."""
+        """Nanoseconds on the monotonic clock that deadlines refer to."""
 
     def time_ns(self) -> int:
-        """Unix time in nanoseconds; it may be stepped, forwards and backwards."""
+        """Unix time in nanoseconds; it may jump forwards and backwards."""
 
     def has_input(self, transport: asyncio.BaseTransport) -> bool:
-        """Whether bytes or a close have arrived that the event loop has not come to yet."""
+        """Whether bytes or a close have arrived that the event loop has not processed yet."""
 
     def hung_up(self, transport: asyncio.BaseTransport) -> bool:
-        """Whether the other side has closed or reset the connection, be that read or not."""
+        """Whether the peer has closed or reset the connection, even if that has not been read yet."""
 
     def input_age(self, transport: asyncio.BaseTransport) -> int:
-        """Nanoseconds since the last bytes arrived, read or not; 0 where the machine does not tell."""
+        """Nanoseconds since the last bytes arrived, read or not; 0 where the system does not provide it."""
 
 
-LAST_DATA_RECEIVED = 52  # where `tcpi_last_data_recv` (milliseconds) stands in linux/tcp.h's struct tcp_info
+LAST_DATA_RECEIVED = 52  # offset of `tcpi_last_data_recv` (milliseconds) in struct tcp_info of linux/tcp.h
 
 
 class SystemClock:
-    """The machine's own."""
+    """The real clocks and sockets of the machine."""
 
     monotonic_ns = staticmethod(time.monotonic_ns)
     time_ns = staticmethod(time.time_ns)
@@ -52,7 +52,7 @@
     @staticmethod
     def hung_up(transport: asyncio.BaseTransport) -> bool:
         """See `Clock.hung_up`."""
-        poll = select.poll()  # POLLHUP and POLLERR, a reset's, are told unasked
+        poll = select.poll()  # POLLHUP and POLLERR (a reset) are always reported
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
         return bool(poll.poll(0))
 
@@ -65,7 +65,7 @@
             info = transport.get_extra_info("socket").getsockopt(
                 socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED + 4
             )
-        except OSError:  # it does not tell now: what was read is answered all the same
+        except OSError:  # not available now: what was read is answered all the same
             return 0
         age: int = struct.unpack_from("=I", info, LAST_DATA_RECEIVED)[0]
         return age * 1_000_000
--- a/dykeshift/interface.py
+++ b/dykeshift/interface.py
@@ -1,6 +1,6 @@
-"""What goes in and out of the decision module: settings, events and actions. No logic.
+"""Input and output of the decision module: settings, events and actions. No logic.
 
-All times are integers in nanoseconds on one clock that never runs backwards. Ids are opaque.
+All times are integers in nanoseconds on one monotonic clock. Ids are opaque.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
     """Whether a request of a class may run more than once."""
 
     SAFE = auto()  # may run any number of times
-    KEYED = auto()  # servers of one scope drop a repeat for a while
+    KEYED = auto()  # has an idempotency key: servers of one scope drop a repeat for a limited time
     UNSAFE = auto()  # must never run twice
 
 
 class Scope(Enum):
-    """Which servers drop the repeats of a keyed request."""
+    """The servers that share the keys of keyed requests, and so drop repeats of each other's."""
 
     ALL = auto()
     ZONE = auto()
@@ -26,28 +26,28 @@
 
 
 class ServerState(Enum):
-    """A server as the list shows it."""
+    """State of a server according to the list."""
 
     READY = auto()
-    DRAINING = auto()  # finishes what it has; send it nothing new
+    DRAINING = auto()  # finishes its requests; must not be sent new ones
     GONE = auto()
 
 
 class ListKind(Enum):
-    """What an update of the list says."""
+    """Kind of an update of the list."""
 
-    FULL = auto()  # the whole list; whoever is not on it is gone
-    CACHED = auto()  # the whole list as last seen before a restart, possibly stale
+    FULL = auto()  # the complete list; servers that are not in it are gone
+    CACHED = auto()  # the complete list as stored before a restart, possibly stale
     DELTA = auto()  # changed entries only
-    FAILED = auto()  # a call to discovery failed; the list held stays valid
+    FAILED = auto()  # a call to discovery failed; the present list stays valid
 
 
 class CallEnd(Enum):
-    """How a call to discovery ended that brought no list."""
+    """How a call to discovery that returned no list ended."""
 
-    BROKEN = auto()  # a watch that had been answered: it fell silent, was reset, or brought something unsound
-    UNREACHED = auto()  # no connection to discovery came up
-    UNANSWERED = auto()  # a first call that was turned away, or that nothing came of in its time
+    BROKEN = auto()  # a watch that had returned a list: it fell silent, was reset, or sent something invalid
+    UNREACHED = auto()  # no connection to discovery could be established
+    UNANSWERED = auto()  # a call that was rejected, or timed out before its first answer
 
 
 class Outcome(Enum):
@@ -55,7 +55,7 @@
 
     OK = auto()
     ERROR = auto()
-    FULL = auto()  # turned away unseen
+    FULL = auto()  # rejected by the server without being processed
     TIMEOUT = auto()
     CONNECT_FAILED = auto()
     RESET = auto()
@@ -63,79 +63,79 @@
     NOT_SENT = auto()
 
 
-# Ends that prove that nothing was executed.
+# Outcomes that prove that the attempt was not executed.
 NOT_RUN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests: what is aimed at, and which repeats are allowed. Times in nanoseconds."""
+    """One class of requests: its latency target and which repeats are allowed. Times in nanoseconds."""
 
     name: str
     aim: int  # an answer within this earns the full worth
-    deadline: int  # what a client waits in all, over its tries
+    deadline: int  # how long a client waits in total, over all its tries
     worth: float
-    late_share: float  # part of the worth that an answer between aim and deadline still earns
+    late_share: float  # share of the worth that an answer between aim and deadline still earns
     idempotency: Idempotency
     scope: Scope
-    window: int  # how long repeats of a keyed request are dropped
+    window: int  # how long servers remember the key of a keyed request
     stream: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a balancer acts on. Times in nanoseconds."""
+    """Settings of a balancer. Times in nanoseconds."""
 
     classes: tuple[RequestClass, ...]
-    balancers: int  # how many share this fleet
+    balancers: int  # how many balancers share the servers
     zone: int
-    ask_discovery: bool  # changes arrive only after a Watch
-    ask_every: int  # how long one may go without asking; 0 where it need not ask
+    ask_discovery: bool  # changes of the list arrive only after a `Watch`
+    ask_every: int  # longest time without a call to discovery; 0 where none is needed
     attempt_limit: int
-    copies_allowed: bool  # two attempts of one request may be out at once
+    copies_allowed: bool  # two attempts of one request may be in flight at the same time
     cancel_allowed: bool
-    cold_share: float  # a fresh server starts at this share of its capacity or above
-    cold_time: int  # and is warm after this at the latest
-    overload_multiple: float  # a cold server sent more than this multiple of its present capacity
-    overload_window: int  # for this long falls over
+    cold_share: float  # a server has at least this share of its capacity right after its start
+    cold_time: int  # a server is warm after this time at the latest
+    overload_multiple: float  # a cold server fails if sent more than this multiple of its present capacity
+    overload_window: int  # for this long
     answer_slack: int  # a final answer may come this long after the client's deadline
-    step: int  # shortest time between two calls
-    worth_by_work: bool = False  # worth counts for each unit of work, not for each request
-    fairness: float = 0.0  # weight of the worst-served class, as a multiple of that of all requests
-    retry_advice_limit: int = 0  # longest wait that a client respects; 0: advice does not reach clients
-    retired: frozenset[int] = frozenset()  # places whose classes are not in force: docs/module.md
+    step: int  # shortest time between two calls of the module
+    worth_by_work: bool = False  # worth is per unit of work instead of per request
+    fairness: float = 0.0  # weight of the worst-served class in the goal, relative to that of all requests
+    retry_advice_limit: int = 0  # longest wait that clients respect; 0: they are not told when to retry
+    retired: frozenset[int] = frozenset()  # places whose classes are not in force: see docs/module.md
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One server of a list."""
+    """One server in the list."""
 
     id: int
     zone: int
     cell: int
     kind: int
     state: ServerState
-    weight: float  # relative size as far as discovery tells; 1 where it does not
-    started: int  # clock time of its latest start; 0: long ago
+    weight: float  # relative size according to discovery; 1 if it does not say
+    started: int  # time of its latest start; 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request; its class is a place, an index in `Settings.classes`."""
+    """A client's request. `klass` is the place of its class, an index in `Settings.classes`."""
 
     id: str
     klass: int
-    deadline: int  # clock time at which the client gives up on this try
-    cost_hint: int = 0  # expected work; 0: not told
+    deadline: int  # time at which the client gives up this try
+    cost_hint: int = 0  # expected work; 0: unknown
     retry: bool = False
-    attempts: int = 0  # the most that may be sent, where that is fewer than the settings' limit; 0: it is not
+    attempts: int = 0  # limit of its attempts, if lower than that of the settings; 0: it is not
     tenant: int = 0
     key: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a server said of its load; None for what it did not say."""
+    """Load reported by a server; None for figures that it did not report."""
 
     in_flight: float | None = None
     queued: float | None = None
@@ -147,30 +147,30 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """An attempt has come back. `latency` in nanoseconds, from its sending."""
+    """End of an attempt. `latency` in nanoseconds since it was sent."""
 
     request_id: str
     attempt: int
     server: int
     outcome: Outcome
     latency: int
-    final: bool  # the request is closed, by this or earlier
+    final: bool  # the request has its final answer, by this attempt or before
     report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send the request to that server, as its next attempt."""
+    """Send the request to this server, as its next attempt."""
 
     request_id: str
     server: int
     timeout: int  # 0: until the client's deadline
-    begin_by: int = 0  # not to become whole on the wire later than this; 0: as long as it is out
+    begin_by: int = 0  # do not finish writing the request later than this; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Call an attempt off."""
+    """Cancel an attempt."""
 
     request_id: str
     attempt: int
@@ -178,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not done, and a retry does no harm."""
+    """Final answer: the request was refused, and a retry does no harm."""
 
     request_id: str
     retry_after: int = 0
@@ -186,14 +186,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing is said about its effect."""
+    """Final answer: the request failed and may or may not have been executed."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Give the token back with `on_timer` at that time or soon after."""
+    """Call `on_timer` with this token at this time or soon after."""
 
     token: str
     at: int
@@ -201,24 +201,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Subscribe to discovery's changes."""
+    """Subscribe to changes of the list at discovery."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for people."""
+    """Write a line to the log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """What the fleet has agreed on beside the settings, as far as this instance knows."""
+    """What the fleet has agreed on besides the settings, as far as this instance knows."""
 
-    out: frozenset[int] = frozenset()  # servers that get nothing new: out by hand elsewhere, or leaving
-    preferred: frozenset[int] = frozenset()  # servers that go before others that are as idle
-    closed: frozenset[str] = frozenset()  # classes that are turned away, by name
-    doubtful: bool = False  # it can't know what the others act on: nothing that may have run goes out again
+    out: frozenset[int] = frozenset()  # servers that get nothing new: banned at another balancer, or leaving
+    preferred: frozenset[int] = frozenset()  # servers that are preferred to other idle ones
+    closed: frozenset[str] = frozenset()  # names of classes whose requests are refused
+    # This instance cannot know which settings the others use: nothing that may have run is sent again.
+    doubtful: bool = False
 
 
 Action = Send | Cancel | Refuse | Fail | SetTimer | Watch | Log
@@ -226,8 +227,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """An update of the list of servers, or that it could not be had."""
+    """An update of the list of servers, or the failure of a call for it."""
 
     kind: ListKind
     entries: tuple[ServerEntry, ...] = field(default=())
-    end: CallEnd = CallEnd.UNANSWERED  # of the call, where it failed
+    end: CallEnd = CallEnd.UNANSWERED  # how the call failed, if it did
--- a/dykeshift/settings.py
+++ b/dykeshift/settings.py
@@ -1,4 +1,4 @@
-"""The settings and load reports as the deployment words them, for the adapter and the real balancer alike."""
+"""Parses settings and load reports in the deployment's format, for the simulator adapter and the balancer."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class Malformed(Exception):
-    """A message that the wire does not allow; its text is for people."""
+    """An invalid message; the exception's text is meant for operators."""
 
 
 class SettingsError(Malformed):
-    """The settings lack something or hold something impossible."""
+    """The settings lack a key or have an invalid value."""
 
 
 _IDEMPOTENCY = {"pure": Idempotency.SAFE, "token": Idempotency.KEYED, "side_effect": Idempotency.UNSAFE}
@@ -31,14 +31,14 @@
 
 
 def need(table: dict[str, Any], key: str, path: str) -> Any:
-    """The value of a key; `SettingsError` with its path where it is missing."""
+    """The value of a key; raises `SettingsError` with its path if it is missing."""
     if not isinstance(table, dict) or key not in table:
         raise SettingsError(f"settings lack {path}{key}")
     return table[key]
 
 
 def word(table: dict[str, Any], text: Any, what: str) -> Any:
-    """What a word of the wire means; `Malformed` where it means nothing."""
+    """The value that an enumerated text stands for; raises `Malformed` if the text is unknown."""
     try:
         return table[text]
     except (KeyError, TypeError):
@@ -46,14 +46,14 @@
 
 
 def positive(value: Any, what: str) -> int:
-    """A whole number above zero; JSON's own words for others (true, strings, NaN) are none."""
+    """A number above zero, truncated to an integer; raises `SettingsError` for others, also true and NaN."""
     if type(value) not in (int, float) or not math.isfinite(value) or int(value) <= 0:
-        raise SettingsError(f"{what} is {value!r}, and a positive number is wanted")
+        raise SettingsError(f"{what} is {value!r}, expected a positive number")
     return int(value)
 
 
 def narrower(one: RequestClass, other: RequestClass) -> RequestClass:
-    """The first with only those repeats that both allow: who acts on it breaks the terms of neither."""
+    """The first class, restricted to the repeats that both allow, so that neither's terms are violated."""
     if one.idempotency is not other.idempotency:
         return replace(one, idempotency=Idempotency.UNSAFE)
     scopes = {one.scope, other.scope} - {Scope.ALL}
@@ -66,7 +66,7 @@
 
 
 def read_settings(text: str) -> Settings:
-    """Settings from the wire's JSON."""
+    """Settings from JSON text."""
     try:
         raw = json.loads(text)
     except ValueError as exc:
@@ -75,7 +75,7 @@
 
 
 def parse_settings(raw: Any) -> Settings:
-    """Settings from parsed JSON; unknown keys are skipped, a missing one is named."""
+    """Settings from parsed JSON. Unknown keys are ignored; the error for a missing key has its path."""
     limits, rules = need(raw, "bounds", ""), need(raw, "obligations", "")
     ask = need(raw, "discovery", "") == "ask"
     every = positive(need(rules, "askEveryNs", "obligations."), "obligations.askEveryNs") if ask else 0
@@ -119,6 +119,6 @@
 
 
 def load_report(values: dict[str, float]) -> LoadReport | None:
-    """The figures that the module knows; others are skipped."""
+    """A load report of the figures that the decision module knows; others are ignored."""
     known = {REPORT_FIELDS[name]: value for name, value in values.items() if name in REPORT_FIELDS}
     return LoadReport(**known) if known else None
