--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -1,4 +1,4 @@
-"""Upstreams out by hand, as the decision module keeps them out and takes them back."""
+"""Bans by operators in the decision module: a banned server gets nothing new until the ban ends."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def sent_to(made: World, requests: int = 60) -> set[int]:
-    """Where requests of all classes go, each answered at once."""
+    """The servers that requests of all classes are sent to, if each is answered immediately."""
     seen = set[int]()
     for n in range(requests):
         rid = made.submit(n % 3)
@@ -23,7 +23,7 @@
     return seen
 
 
-def test_a_ban_holds_through_every_kind_of_list_and_through_leaving_and_return() -> None:
+def test_a_ban_holds_through_every_kind_of_list_update_and_restart() -> None:
     made = world(0, 1, 2)
     made.play(made.balancer.on_ban(made.now, 1))
     assert sent_to(made) == {0, 2}
@@ -31,23 +31,23 @@
         (ListKind.FULL, [entry(0), entry(1), entry(2)]),
         (ListKind.DELTA, [entry(1, ServerState.GONE)]),
         (ListKind.DELTA, [entry(1)]),
-        (ListKind.DELTA, [entry(1, started=made.now)]),
-    ):  # it restarted meanwhile
+        (ListKind.DELTA, [entry(1, started=made.now)]),  # a restart
+    ):
         made.announce(kind, *entries)
         assert sent_to(made) == {0, 2}
-    made.play(made.balancer.on_ban(made.now, 1))  # once more: it is one ban
+    made.play(made.balancer.on_ban(made.now, 1))  # a second time: still one ban
     made.play(made.balancer.on_ban_end(made.now, 1))
     assert 1 in sent_to(made, 600)
 
 
-def test_a_ban_on_one_that_is_not_listed_now_holds_when_it_comes() -> None:
+def test_a_ban_of_an_unlisted_server_holds_once_it_is_listed() -> None:
     made = world(0, 2)
     made.play(made.balancer.on_ban(made.now, 1))
     made.announce(ListKind.DELTA, entry(1))
     assert sent_to(made) == {0, 2}
 
 
-def test_what_comes_back_counts_as_cold_since_then_until_the_list_tells_its_start() -> None:
+def test_after_a_ban_a_server_counts_as_cold_until_the_list_tells_its_start() -> None:
     made = world(0, 1, 2)
     balancer = made.balancer
     made.advance(10 * S)
@@ -57,45 +57,45 @@
     made.play(balancer.on_ban_end(made.now, 1))
     ended = made.now
     assert balancer.servers[1].entry.started == ended
-    made.announce(ListKind.FULL, entry(0), entry(1), entry(2))  # the list has not noticed any start
+    made.announce(ListKind.FULL, entry(0), entry(1), entry(2))  # the list does not show a restart
     assert balancer.servers[1].entry.started == ended and balancer._cold(made.now, balancer.servers[1])
-    made.announce(ListKind.DELTA, entry(1, started=began + S))  # it has now
+    made.announce(ListKind.DELTA, entry(1, started=began + S))  # now it does
     assert balancer.servers[1].entry.started == began + S
     made.advance(30 * S)
     assert not balancer._cold(made.now, balancer.servers[1]) and not balancer.ended_bans
 
 
-def test_a_start_that_the_list_told_during_the_ban_is_kept() -> None:
+def test_a_start_announced_during_a_ban_is_kept() -> None:
     made = world(0, 1)
     made.play(made.balancer.on_ban(made.now, 1))
     made.advance(2 * S)
-    told = made.now - S
-    made.announce(ListKind.DELTA, entry(1, started=told))
+    announced = made.now - S
+    made.announce(ListKind.DELTA, entry(1, started=announced))
     made.play(made.balancer.on_ban_end(made.now, 1))
-    assert made.balancer.servers[1].entry.started == told
+    assert made.balancer.servers[1].entry.started == announced
 
 
-def test_with_all_out_requests_are_refused_at_once() -> None:
+def test_with_all_servers_banned_requests_are_refused_immediately() -> None:
     made = world(0, 1)
     for n in (0, 1):
         made.play(made.balancer.on_ban(made.now, n))
     rid = made.submit(2)
-    assert made.requests[rid].final == "Refuse"  # time has not moved
+    assert made.requests[rid].final == "Refuse"  # at the same instant
     made.play(made.balancer.on_ban_end(made.now, 0))
     assert sent_to(made) == {0}
 
 
-def test_an_attempt_that_runs_at_a_banned_server_ends_under_its_rules() -> None:
+def test_an_attempt_in_flight_at_a_banned_server_is_accounted_for() -> None:
     made = world(0)
     rid = made.submit(2)
     [server] = made.requests[rid].servers
     made.play(made.balancer.on_ban(made.now, server))
-    made.play(made.balancer.on_ban_end(made.now + 1, server))  # a new process as far as anybody knows
+    made.play(made.balancer.on_ban_end(made.now + 1, server))  # it may be a new process
     made.end(rid, 0, Outcome.OK)
     assert made.balancer.servers[server].in_flight == 0 and not made.balancer.open
 
 
-def test_avoided_are_the_banned_the_leaving_and_the_resting_of_the_list() -> None:
+def test_avoided_counts_listed_servers_that_are_banned_draining_or_ejected() -> None:
     made = world(0, 1, 2, 3)
     assert made.balancer.avoided(made.now) == 0
     made.play(made.balancer.on_ban(made.now, 1))
@@ -103,5 +103,5 @@
     assert made.balancer.avoided(made.now) == 2
     made.balancer.servers[0].rest_until = made.now + 1
     assert made.balancer.avoided(made.now) == 3
-    made.announce(ListKind.DELTA, entry(1, ServerState.GONE))  # banned, and not of the list
+    made.announce(ListKind.DELTA, entry(1, ServerState.GONE))  # banned, but not listed
     assert made.balancer.avoided(made.now) == 2
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The ordinary path, each outcome for each idempotency, lists, cold servers and holding."""
+"""Copies and cancels, each outcome for each idempotency, lists, cold servers, waiting, discovery calls."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     ServerState,
 )
 
-BAD = [o for o in Outcome if o is not Outcome.OK]
+FAILURES = [o for o in Outcome if o is not Outcome.OK]
 
 
 def test_safe_requests_are_copied_to_idle_servers_and_losers_cancelled() -> None:
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("klass", [1, 2, 3, 4])
-def test_other_requests_go_once(klass: int) -> None:
+def test_requests_that_are_not_safe_are_sent_once(klass: int) -> None:
     world = fleet()
     warm_up(world)
     assert len(world.requests[world.submit(klass)].servers) == 1
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("bad", [Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED])
-def test_a_bad_end_ends_nothing_while_another_copy_runs(bad: Outcome) -> None:
+def test_a_failed_attempt_is_no_final_answer_while_a_copy_is_in_flight(bad: Outcome) -> None:
     world = fleet()
     warm_up(world)
     rid = world.submit(0)
@@ -60,9 +60,9 @@
 
 
 @pytest.mark.parametrize("klass", range(len(CLASSES)))
-@pytest.mark.parametrize("bad", BAD)
+@pytest.mark.parametrize("bad", FAILURES)
 def test_each_outcome_for_each_idempotency(klass: int, bad: Outcome) -> None:
-    """All attempts end alike: what follows is a legal retry, then the answer that is true."""
+    """All attempts end with the same outcome: allowed retries follow, then the correct final answer."""
     world = fleet()
     rid = world.submit(klass)
     seen, k = world.requests[rid], CLASSES[klass]
@@ -81,7 +81,7 @@
     } == {Refuse if seen.final == "Refuse" else Fail}
 
 
-def test_no_server_is_answered_in_time_and_honestly() -> None:
+def test_without_servers_requests_are_refused_in_time() -> None:
     world = World()
     ids = [world.submit(k) for k in range(len(CLASSES))]
     world.advance(400 * MS)
@@ -89,7 +89,7 @@
     world.settle()
 
 
-def test_a_held_request_goes_out_when_a_server_appears() -> None:
+def test_a_waiting_request_is_sent_when_a_server_appears() -> None:
     world = World()
     rid = world.submit(2)
     world.advance(40 * MS)
@@ -112,7 +112,7 @@
     world.settle()
 
 
-def test_a_restart_is_a_cold_server_whose_past_is_dropped() -> None:
+def test_a_restarted_server_is_cold_and_its_estimates_are_dropped() -> None:
     world = fleet(2)
     warm_up(world)
     assert any(s.has_answered for s in world.balancer.servers.values())
@@ -123,7 +123,7 @@
 
 
 def cold_sends(world: World, cold: int, rounds: int) -> tuple[int, float]:
-    """Busy servers all round, a cold one that answers nothing: what it was sent, and the others' mean."""
+    """Attempts sent to a cold server that answers nothing, and the mean sent to the others, all busy."""
     counts: dict[int, int] = {}
     for _ in range(rounds):
         rid = world.submit(2)
@@ -137,8 +137,8 @@
     return counts.get(cold, 0), sum(others) / max(1, len(others))
 
 
-def test_a_cold_server_gets_the_share_it_bears_by_chance() -> None:
-    """Incident i076e68: one attempt a window from each of 235 balancers pushed cold servers over."""
+def test_a_cold_server_gets_no_more_than_its_share() -> None:
+    """Incident i076e68: one attempt a window from each of 235 balancers overloaded cold servers."""
     world = fleet(8)
     warm_up(world)
     world.requests.clear()
@@ -151,7 +151,7 @@
 
 
 def test_a_small_cold_server_gets_less() -> None:
-    """Incident i076e68: the small kinds bore 1.6 times their limit while the large ones kept theirs."""
+    """Incident i076e68: small servers got 1.6 times their limit while large ones stayed within theirs."""
     sent = []
     for weight in (1.0, 0.2):
         world = fleet(8)
@@ -164,7 +164,7 @@
 
 
 def test_a_cold_server_that_answers_gets_more_than_one_that_does_not() -> None:
-    """khovd-west big-2: servers warm far above the least were held to it through a whole deploy."""
+    """khovd-west big-2: in a whole deploy servers that warmed up early got only the guaranteed least."""
     sent = []
     for cold_end in (Outcome.OK, Outcome.CANCELLED):
         world = fleet(8)
@@ -180,8 +180,8 @@
     assert sent[0] > 1.3 * sent[1]
 
 
-def test_restarted_balancers_that_know_nothing_do_not_push_a_cold_fleet_over() -> None:
-    """Each of 300 has measured nothing and finds only cold servers: together they send a few a window."""
+def test_restarted_balancers_do_not_overload_a_cold_fleet() -> None:
+    """300 balancers without measurements, only cold servers: together they send a few attempts a window."""
     total, window = 0, 0
     for seed in range(300):
         world = World(make_settings(balancers=300), seed)
@@ -195,20 +195,20 @@
 
 
 def pauses(end: CallEnd, waited: int, count: int, seed: int, **changes: object) -> list[int]:
-    """From the beginning of each of so many calls, one after another, to the next, in 10 ms."""
+    """Times from the start of each of `count` failed calls to the next one, in steps of 10 ms."""
     world = World(make_settings(ask_discovery=True, **changes), seed)
-    found = []
+    measured = []
     for n in range(1, count + 1):
         assert world.watches == n
         since = world.now
         world.advance(waited)
-        assert world.watches == n, "asked anew while a call is out"
+        assert world.watches == n, "a second call while one is open"
         world.play(world.balancer.on_list(world.now, ServerList(ListKind.FAILED, end=end)))
         while world.watches == n:
             world.advance(10 * MS)
-        found.append(world.now - since)
+        measured.append(world.now - since)
     world.settle()
-    return found
+    return measured
 
 
 @pytest.mark.parametrize(
@@ -216,37 +216,37 @@
     [
         (CallEnd.BROKEN, 2 * S, 2 * S, 3520 * MS),
         (CallEnd.UNREACHED, S, 1200 * MS, 3 * S),
-        (CallEnd.UNANSWERED, 0, 600 * MS, 2420 * MS),  # turned away at once: it left no work
+        (CallEnd.UNANSWERED, 0, 600 * MS, 2420 * MS),  # rejected immediately: it left no work
         (CallEnd.UNANSWERED, 2 * S, 3 * S, 5420 * MS),
         (CallEnd.UNANSWERED, 3 * S, 3 * S, 5420 * MS),
     ],
 )
-def test_discovery_is_asked_again_before_what_it_has_counts_as_told(
+def test_discovery_is_called_again_before_its_changes_count_as_known(
     end: CallEnd, waited: int, least: int, most: int
 ) -> None:
-    """Sends to servers leaving, 0.3 to 0.4 s after six: a broken watch was begun anew after 7.4 to 8 s."""
-    found = [pause for seed in range(40) for pause in pauses(end, waited, 4, seed)]
-    assert least <= min(found) and max(found) <= most
-    assert max(found) - min(found) > (most - least) / 2, "all ask at once"
+    """Draining servers got requests 0.3 to 0.4 s after the 6 s limit: watches reopened after 7.4 to 8 s."""
+    measured = [pause for seed in range(40) for pause in pauses(end, waited, 4, seed)]
+    assert least <= min(measured) and max(measured) <= most
+    assert max(measured) - min(measured) > (most - least) / 2, "all balancers call at the same time"
 
 
-def test_a_lone_balancer_begins_a_broken_watch_anew_at_once() -> None:
+def test_a_single_balancer_reopens_a_broken_watch_immediately() -> None:
     assert pauses(CallEnd.BROKEN, 0, 1, 1, balancers=1) == [10 * MS]
 
 
-def test_the_pauses_scale_with_the_time_that_the_settings_give_for_asking() -> None:
+def test_pauses_between_calls_scale_with_ask_every() -> None:
     assert max(pauses(CallEnd.UNANSWERED, 0, 4, 1, ask_every=600 * MS)) <= 250 * MS
 
 
-def test_calls_in_vain_one_after_another_pause_longer_until_a_list_comes() -> None:
-    """All balancers at a discovery that is overbooked for good: none would ever get a list."""
-    found = pauses(CallEnd.UNANSWERED, 2 * S, 6, 1)
-    assert max(found[:4]) <= 5420 * MS and min(found[4:]) >= 6 * S
+def test_pauses_are_longer_after_several_unanswered_calls_in_a_row() -> None:
+    """If all balancers call a permanently overloaded discovery at a constant rate, none ever gets a list."""
+    measured = pauses(CallEnd.UNANSWERED, 2 * S, 6, 1)
+    assert max(measured[:4]) <= 5420 * MS and min(measured[4:]) >= 6 * S
 
 
-def test_a_move_asks_the_new_discovery_soon_and_once() -> None:
+def test_a_moved_discovery_is_called_soon_and_once() -> None:
     world = World(make_settings(ask_discovery=True))
-    world.balancer.in_vain = 100  # a jam: the pause that begins now lasts for six seconds at the least
+    world.balancer.in_vain = 100  # overloaded discovery: the next pause is at least six seconds long
     world.advance(2 * S)
     world.play(world.balancer.on_list(world.now, ServerList(ListKind.FAILED)))
     assert min(at for at, token in world.timers if token == "watch") > world.now + 3 * S
@@ -254,11 +254,11 @@
     world.advance(1510 * MS)
     assert world.watches == 2 and world.balancer.in_vain == 0
     world.advance(12 * S)
-    assert world.watches == 2  # the pause from before ends, and nobody asks twice
+    assert world.watches == 2  # the earlier pause ends without a second call
     world.settle()
 
 
-def test_servers_gone_for_good_are_forgotten() -> None:
+def test_servers_that_left_are_dropped() -> None:
     world = fleet(6)
     for n in range(300):
         world.announce(ListKind.DELTA, entry(10 + n, started=world.now - 30 * S))
@@ -277,7 +277,7 @@
         (30 * MS, 0.1, 30 * MS),
     ],
 )
-def test_a_refusal_says_when_to_come_back_within_the_limit(limit: int, admit: float, least: int) -> None:
+def test_a_refusal_says_when_to_retry_within_the_limit(limit: int, admit: float, least: int) -> None:
     world = World(make_settings(retry_advice_limit=limit))
     world.balancer.admit = admit
     world.submit(0)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""One small test for each failure met: what the module did, and must not do again."""
+"""Regression tests: one for each failure of the decision module that was found."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def warm_up(world: World, rounds: int = 60, klass: int = 0, hint: int = 0) -> None:
-    """Every attempt answered quickly: the usual latency and the servers' rooms settle."""
+    """Answers every attempt quickly, so that latency estimates and concurrency limits settle."""
     for _ in range(rounds):
         rid = world.submit(klass, hint=hint)
         world.advance(30 * MS)
         world.end_all(rid)
 
 
-def test_silent_fleet_is_not_filled_without_bound() -> None:
+def test_attempts_at_a_silent_fleet_are_bounded() -> None:
     """Incidents i407c1f, i8d87b3, i4602e4: all servers held more than they could finish in time."""
     world = fleet()
     for _ in range(400):
@@ -38,7 +38,7 @@
     world.settle()
 
 
-def test_quick_errors_do_not_draw_the_traffic() -> None:
+def test_quick_errors_do_not_attract_traffic() -> None:
     world = fleet()
     warm_up(world)
     bad, total = 0, 200
@@ -53,8 +53,8 @@
     world.settle()
 
 
-def test_hung_server_takes_few_irrevocable_requests() -> None:
-    """A server that takes work and answers nothing is left aside while others answer."""
+def test_a_hung_server_gets_few_unsafe_requests() -> None:
+    """A server that accepts requests and answers nothing is avoided while others answer."""
     world = fleet()
     warm_up(world)
     hung = 0
@@ -70,8 +70,8 @@
     world.settle()
 
 
-def test_stalled_attempt_gets_a_delayed_copy() -> None:
-    """Stalls of 140 to 230 ms on every server made all that they held late."""
+def test_a_stalled_attempt_gets_a_delayed_copy() -> None:
+    """Stalls of 140 to 230 ms on every server made all their requests late."""
     world = fleet()
     warm_up(world)
     rid = world.submit(0)
@@ -84,8 +84,8 @@
     world.settle()
 
 
-def test_slow_answers_end_copying() -> None:
-    """Incident i407c1f: many balancers, each with nothing out, copied into a fleet that was full."""
+def test_slow_answers_stop_copies() -> None:
+    """Incident i407c1f: many balancers, each with nothing in flight, sent copies to a saturated fleet."""
     world = fleet()
     for _ in range(60):
         rid = world.submit(0)
@@ -99,8 +99,8 @@
     world.settle()
 
 
-def test_a_held_request_is_refused_while_it_could_not_be_in_time_anyway() -> None:
-    """Incident i3bc64d: requests begun with too little time left took the servers from those in time."""
+def test_a_waiting_request_is_refused_once_it_cannot_be_in_time() -> None:
+    """Incident i3bc64d: requests sent with too little time left took servers from those still in time."""
     world = fleet(1)
     warm_up(world, hint=20 * MS)
     for _ in range(40):
@@ -115,27 +115,27 @@
     world.settle()
 
 
-def trusted(balancers: int) -> float:
+def mean_limit(balancers: int) -> float:
     world = fleet(3, balancers=balancers)
     for _ in range(60):
         rids = [world.submit(2) for _ in range(12)]
         world.advance(10 * MS)
         for rid in rids:
             world.end_all(rid)
-    rooms = [s.concurrency_limit for s in world.balancer.servers.values()]
+    limits = [s.concurrency_limit for s in world.balancer.servers.values()]
     world.settle()
-    return sum(rooms) / len(rooms)
+    return sum(limits) / len(limits)
 
 
-def test_many_balancers_each_trust_a_server_with_less() -> None:
-    """Incidents i1c51ca, i3b328d, ieb0e10: the rooms of sixteen instances grew at once, into a jam."""
-    few, many = trusted(4), trusted(16)
+def test_the_limit_of_each_instance_is_lower_with_many_balancers() -> None:
+    """Incidents i1c51ca, i3b328d, ieb0e10: the limits of sixteen instances grew together into an overload."""
+    few, many = mean_limit(4), mean_limit(16)
     assert many < few * 0.6
-    assert many > 1, "quick answers under load still make rooms grow"
+    assert many > 1, "quick answers under load still raise the limits"
 
 
-def test_a_server_that_reports_itself_busy_gets_no_more_room() -> None:
-    """Incidents ieb0e10, i25554e: one's own quick answers say little where others fill the server."""
+def test_the_limit_of_a_server_that_reports_itself_busy_does_not_grow() -> None:
+    """Incidents ieb0e10, i25554e: an instance's own quick answers say little if others load the server."""
     world = fleet(2)
     busy = LoadReport(utilization=0.95)
     for _ in range(60):
@@ -151,8 +151,8 @@
     world.settle()
 
 
-def crowded(**changes: object) -> tuple[World, dict[int, list[str]]]:
-    """Four times what one server answers, half of it cheap in worth (class 3), half dear (class 2)."""
+def overloaded(**changes: object) -> tuple[World, dict[int, list[str]]]:
+    """Four times the load of one server: half of it of low worth (class 3), half of high worth (class 2)."""
     classes = tuple(replace(c, worth=5.0 if n == 2 else 1.0) for n, c in enumerate(CLASSES))
     world = fleet(1, seed=1, classes=classes, **changes)
     finals: dict[int, list[str]] = {2: [], 3: []}
@@ -171,16 +171,16 @@
     return sum(world.requests[r].final == "OK" for r in rids)
 
 
-def test_in_a_crowd_the_least_worthy_class_waits_first() -> None:
-    """Incident i78a34d: all classes were refused alike, whatever their worth per work."""
-    world, rids = crowded()
+def test_in_an_overload_the_class_of_least_worth_waits_first() -> None:
+    """Incident i78a34d: all classes were refused alike, regardless of their worth per unit of work."""
+    world, rids = overloaded()
     assert served(world, rids[2]) > 2 * served(world, rids[3])
-    world, rids = crowded(fairness=1.0)
-    assert served(world, rids[2]) < 2 * served(world, rids[3]), "where the worst class counts much"
+    world, rids = overloaded(fairness=1.0)
+    assert served(world, rids[2]) < 2 * served(world, rids[3]), "with a high weight of the worst class"
 
 
 def test_a_class_that_comes_alone_is_not_starved_by_its_low_worth() -> None:
-    world, _ = crowded()
+    world, _ = overloaded()
     world.announce(ListKind.DELTA, entry(1), entry(2))
     rids = []
     for _ in range(600):
@@ -192,7 +192,7 @@
     world.settle()
 
 
-def test_no_copy_where_idle_servers_are_scarce() -> None:
+def test_no_copy_if_few_servers_are_idle() -> None:
     """Incidents ieb0e10, i3b328d: copies took the last idle servers from the requests after them."""
     world = fleet(5)
     warm_up(world)
@@ -202,8 +202,8 @@
     world.settle()
 
 
-def test_every_server_is_met_soon_though_the_first_heard_stay_idle() -> None:
-    """A restarted balancer stuck to the few servers it had heard first: the others never read idle."""
+def test_every_server_is_used_soon_though_the_first_to_answer_stay_idle() -> None:
+    """A restarted balancer used only the few servers that answered first: the others never looked idle."""
     world = fleet(8)
     for _ in range(80):
         rid = world.submit(2)
@@ -213,16 +213,16 @@
     world.settle()
 
 
-def test_a_fleet_too_large_for_few_requests_is_met_in_part() -> None:
-    """Incident iaeca7e: 138 balancers each connected to every server until its table was full."""
+def test_only_part_of_a_large_fleet_is_used_for_few_requests() -> None:
+    """Incident iaeca7e: 138 balancers each connected to every server until connection tables were full."""
     world = fleet(60)
     for _ in range(300):
         rid = world.submit(2)
         world.advance(150 * MS)
         world.end_all(rid)
-    met = {n for s in world.requests.values() for n in s.servers}
-    assert len(met) < 20
-    refusing = next(iter(met))
+    used_servers = {n for s in world.requests.values() for n in s.servers}
+    assert len(used_servers) < 20
+    refusing = next(iter(used_servers))
     for _ in range(200):
         rid = world.submit(2)
         world.advance(150 * MS)
@@ -230,65 +230,65 @@
         world.end_all(rid, Outcome.CONNECT_FAILED if bad else Outcome.OK)
     tries = [s.servers for s in list(world.requests.values())[-150:]]
     assert all(refusing not in t for t in tries)
-    assert all(s.entry.id != refusing for s in world.balancer.pool), "left to others"
+    assert all(s.entry.id != refusing for s in world.balancer.pool), "dropped from the pool"
     world.settle()
 
 
-def test_first_trust_is_a_share_and_later_servers_are_trusted_like_the_others() -> None:
-    """Incident ibd67e9: eleven balancers filled every core within the first two seconds of an overload."""
+def test_the_initial_limit_is_shared_and_later_servers_start_with_the_mean_limit() -> None:
+    """Incident ibd67e9: eleven balancers occupied all cores in the first two seconds of an overload."""
     world = fleet(3, balancers=16)
     start = world.balancer.servers[0].concurrency_limit
     assert start * 16 < 6
     warm_up(world, 200, klass=2)
     world.announce(ListKind.DELTA, entry(9))
-    rooms = [world.balancer.servers[n].concurrency_limit for n in range(3)]
-    assert start < sum(rooms) / 3 == world.balancer.servers[9].concurrency_limit
+    limits = [world.balancer.servers[n].concurrency_limit for n in range(3)]
+    assert start < sum(limits) / 3 == world.balancer.servers[9].concurrency_limit
     world.settle()
 
 
-def test_in_an_overload_rooms_grow_on_quicker_answers_only_unless_servers_are_warming_up() -> None:
-    """Incidents i3bc64d, i616169: rooms grew through an overload until every server choked."""
+def test_in_an_overload_only_quicker_answers_raise_limits_unless_servers_are_warming_up() -> None:
+    """Incidents i3bc64d, i616169: limits grew through an overload until every server was saturated."""
     for started, grows in ((0, False), (1, True)):
         world = fleet(2)
         world.announce(ListKind.DELTA, entry(2, started=started and world.now))
-        world.balancer.out += 1  # a crowd is over when nothing is out
+        world.balancer.out += 1  # the overload estimate falls while nothing is in flight
         world.balancer.crowd = 1.0
-        world.advance(400 * MS)  # the sweep sees the crowd
+        world.advance(400 * MS)  # until the next sweep
         world.balancer.crowd = 1.0
         before = world.balancer.servers[0].concurrency_limit
         for _ in range(4):
             for _ in range(6):
                 world.submit(2)
-            world.advance(120 * MS)  # .3 of the aim: quick enough without a crowd
+            world.advance(120 * MS)  # 0.3 of the aim: quick enough without an overload
             for rid, n in world.out():
                 world.end(rid, n, Outcome.OK)
         assert (world.balancer.servers[0].concurrency_limit > before) is grows
         world.settle()
 
 
-def test_a_jam_of_the_whole_fleet_ends_at_the_door() -> None:
-    """Incident i3ee00a: at hundreds of balancers no single server's room stopped a burst in time."""
+def test_an_overload_of_the_whole_fleet_lowers_the_admitted_share() -> None:
+    """Incident i3ee00a: with hundreds of balancers the limits per server did not stop a burst in time."""
     world = fleet(60, balancers=400)
-    for _ in range(60):  # all answers late, each server met once or twice
+    for _ in range(60):  # all answers late, each server used once or twice
         rid = world.submit(2)
         world.advance(300 * MS)
         world.end_all(rid)
     assert world.balancer.admit < 0.5
-    world.announce(ListKind.FULL, *(entry(n) for n in range(100, 160)))  # not one of them rests yet
+    world.announce(ListKind.FULL, *(entry(n) for n in range(100, 160)))  # none of them is ejected yet
     rids = [world.submit(2) for _ in range(8)]
     refused = sum(world.requests[r].final == "Refuse" for r in rids)
-    assert refused >= 5, "each of the pool would take one"
+    assert refused >= 5, "each server of the pool would accept one"
     world.settle()
     for _ in range(300):
         rid = world.submit(2)
         world.advance(40 * MS)
         world.end_all(rid)
-    assert world.balancer.admit == MAX_ADMISSION, "quick answers open it again"
+    assert world.balancer.admit == MAX_ADMISSION, "quick answers raise the admitted share again"
 
 
-def test_late_attempts_at_a_server_with_free_cores_cost_it_nothing() -> None:
-    """sofia-readings: pauses and heavy requests cut the rooms of servers that had little to do."""
-    rooms = []
+def test_late_attempts_at_a_server_with_free_cores_do_not_cut_its_limit() -> None:
+    """sofia-readings: pauses and heavy requests cut the limits of servers with little load."""
+    limits = []
     for utilization in (0.2, 0.95):
         world = fleet(2)
         for _ in range(30):
@@ -297,13 +297,13 @@
             for n, end in enumerate(world.requests[rid].ends):
                 if end is None:
                     world.end(rid, n, Outcome.OK, LoadReport(utilization=utilization))
-        rooms.append(sum(s.concurrency_limit for s in world.balancer.servers.values()))
+        limits.append(sum(s.concurrency_limit for s in world.balancer.servers.values()))
         world.settle()
-    assert rooms[0] > 2 * rooms[1]
+    assert limits[0] > 2 * limits[1]
 
 
-def test_a_room_below_one_recovers_at_hundreds_of_instances() -> None:
-    """cardiff-push: rooms grew by 2/N of themselves and fell by a fifth; no server ever recovered."""
+def test_a_limit_below_one_recovers_with_hundreds_of_instances() -> None:
+    """cardiff-push: limits grew by 2/N of themselves and fell by a fifth; no server ever recovered."""
     world = fleet(4, balancers=300)
     server = world.balancer.servers[0]
     before = server.concurrency_limit
@@ -316,8 +316,8 @@
 
 
 def test_marked_retries_do_not_enlarge_the_pool() -> None:
-    """cardiff-push big-1: retries doubled the requests, the pool grew with them and filled the tables."""
-    met = []
+    """cardiff-push big-1: retries doubled the requests, so the pool grew and filled connection tables."""
+    pool_sizes = []
     for retry in (False, True):
         world = fleet(60)
         for n in range(600):
@@ -327,13 +327,13 @@
             world.play(world.balancer.on_request(world.now, request))
             world.advance(5 * MS)
             world.end_all(request.id)
-        met.append(len(world.balancer.pool))
+        pool_sizes.append(len(world.balancer.pool))
         world.settle()
-    assert met[1] < met[0] / 2
+    assert pool_sizes[1] < pool_sizes[0] / 2
 
 
-def test_a_class_that_hangs_on_some_servers_alone_leaves_them() -> None:
-    """Half of the servers answer two classes and hang on the third: it must go to the others."""
+def test_a_class_avoids_servers_that_hang_on_it_alone() -> None:
+    """Half of the servers answer two classes and hang on the third: its requests must go to the others."""
     world = fleet(8)
     for klass in (0, 1, 2):
         warm_up(world, 40, klass)
@@ -349,12 +349,12 @@
                 hung[0] += n >= 200 and server < 4
                 if world.requests[rid].ends[attempt] is None:
                     world.end(rid, attempt, Outcome.OK)
-    assert hung[2] <= 15, f"{hung[2]} of 100 went to where they hang"
-    assert hung[0] >= 5, "the class that is answered there keeps away as well"
+    assert hung[2] <= 15, f"{hung[2]} of 100 went to servers that hang on them"
+    assert hung[0] >= 5, "a class that is answered there avoids them as well"
     world.settle()
 
 
-def test_a_class_comes_back_to_where_it_is_answered_again() -> None:
+def test_a_class_returns_to_a_server_that_answers_it_again() -> None:
     world = fleet(1)
     warm_up(world, 40, 2)
     for _ in range(20):
@@ -369,8 +369,8 @@
     world.settle()
 
 
-def test_a_request_with_little_time_goes_where_it_is_answered_first() -> None:
-    """Servers of two speeds: idle slow ones drew requests that only a quick one answers in time."""
+def test_a_request_with_little_time_goes_to_the_quickest_server() -> None:
+    """Servers of two speeds: idle slow ones got requests that only a quick one answers in time."""
     world = fleet(6, 3)
 
     def play(patience: int | None) -> list[int]:
@@ -391,33 +391,33 @@
 
 
 @pytest.mark.parametrize(("latency", "least", "most"), [(30, 9, 12), (250, 0, 8)])
-def test_a_near_server_counts_as_idle_behind_a_few_while_it_is_quick(
+def test_a_quick_server_of_the_own_zone_counts_as_idle_with_a_few_attempts(
     latency: int, least: int, most: int
 ) -> None:
-    """Crossing rooms has a price: two of three attempts paid it while near servers had cores free."""
-    world = fleet(8, balancers=1)  # four of them in this room
+    """Two of three attempts went to another zone, at a cost, while servers of the own zone had free cores."""
+    world = fleet(8, balancers=1)  # four of them in the own zone
     for _ in range(80):
         rid = world.submit(2)
         world.advance(latency * MS)
         world.end_all(rid)
     rids = [world.submit(2) for _ in range(12)]
     near = sum(world.list[n].zone == 0 for rid in rids for n in world.requests[rid].servers)
-    assert least <= near <= most, f"{near} of 12 at once stayed in their room"
+    assert least <= near <= most, f"{near} of 12 simultaneous requests stayed in their zone"
     for rid in rids:
         world.end_all(rid)
     world.settle()
 
 
 def test_an_overdue_attempt_gets_a_copy_though_no_server_is_idle() -> None:
-    """One answer in twenty was lost: safe requests timed out after one attempt where all were at work."""
-    patient = replace(CLASSES[0], late_share=0.2)  # worth an answer also after its aim
+    """One answer in twenty was lost: safe requests timed out after one attempt if no server was idle."""
+    patient = replace(CLASSES[0], late_share=0.2)  # an answer after the aim is worth something, too
     world = fleet(6, balancers=1, classes=(patient,))
     for _ in range(80):  # slow enough that only an empty server counts as idle
         rid = world.submit(0)
         world.advance(80 * MS)
         world.end_all(rid)
     for server in world.balancer.servers.values():
-        server.in_flight += 1  # each is always at work on something
+        server.in_flight += 1  # none is ever idle
     lost = world.submit(0)
     assert len(world.requests[lost].servers) == 1
     world.advance(180 * MS)
@@ -427,13 +427,13 @@
     world.settle()
 
 
-def test_a_rack_known_only_from_an_old_list_gets_no_repeat_of_a_keyed_request() -> None:
-    """A balancer came back with a list minutes old: the address had a sender of another rack by then."""
+def test_a_cell_known_only_from_a_cached_list_gets_no_repeat_of_a_keyed_request() -> None:
+    """A balancer restarted with a list minutes old: an address had passed to another cell by then."""
     for fresh in (False, True):
         world = World(make_settings(balancers=1))
         world.announce(ListKind.CACHED, *(entry(n, cell=0) for n in range(6)))
         if fresh:
-            world.announce(ListKind.DELTA)  # what did not change is as it was
+            world.announce(ListKind.DELTA)  # confirms the entries that did not change
         rid = world.submit(1)
         world.advance(100 * MS)
         for number in range(len(world.requests[rid].servers)):
@@ -442,8 +442,8 @@
         assert fresh or world.requests[rid].final == "Fail"
 
 
-def test_a_crowd_is_over_when_nothing_is_out() -> None:
-    """Seconds after a flood two of three classes were refused while every server stood idle."""
+def test_the_overload_estimate_falls_when_nothing_is_in_flight() -> None:
+    """Seconds after an overload two of three classes were still refused while every server was idle."""
     world = fleet(4, balancers=1)
     warm_up(world)
     world.balancer.crowd = 0.95
@@ -452,8 +452,8 @@
     world.settle()
 
 
-def test_admission_opens_again_while_nothing_is_out() -> None:
-    """After a jam so little was let in that no answers came to show that it was over."""
+def test_the_admitted_share_recovers_while_nothing_is_in_flight() -> None:
+    """After an overload so little was admitted that no answers came to show that it was over."""
     world = fleet(4, balancers=1)
     warm_up(world)
     world.balancer.admit = 0.1
@@ -461,9 +461,9 @@
     assert world.balancer.admit == 1.0
 
 
-def test_each_attempt_of_a_keyed_request_says_until_when_it_may_go_out() -> None:
+def test_each_attempt_of_a_keyed_request_has_a_limit_for_its_sending() -> None:
     world = fleet(6, balancers=1)
-    world.announce(ListKind.DELTA)  # the list is of this life
+    world.announce(ListKind.DELTA)  # the list is confirmed
     warm_up(world)
     rid = world.submit(1)
     began = world.now
@@ -474,8 +474,10 @@
 
 
 @pytest.mark.parametrize(("gap", "least", "most"), [(40, 10, 11), (10, 35, 45), (4, 60, 60)])
-def test_the_pool_holds_what_is_met_within_the_longest_aim(gap: int, least: int, most: int) -> None:
-    """join+vast: of 60 servers, each met every three seconds, rooms and paces told what had been."""
+def test_the_pool_has_as_many_servers_as_requests_within_the_longest_aim(
+    gap: int, least: int, most: int
+) -> None:
+    """join+vast: with 60 servers, each used every three seconds, limits and latencies were out of date."""
     world = fleet(60)
     for _ in range(400):
         rid = world.submit(2)
@@ -486,17 +488,17 @@
 
 
 def test_the_pool_grows_with_the_first_requests_before_any_mean_is_known() -> None:
-    """100 servers, 16 balancers in the model: ten servers took the first half second of each balancer."""
+    """100 servers, 16 balancers in the model: in its first half second each used only ten servers."""
     world = fleet(100)
     for n in range(100):
         world.submit(2)
         world.advance(2 * MS)
-        assert len(world.balancer.pool) > min(n, 98), "more requests have come than servers are drawn from"
+        assert len(world.balancer.pool) > min(n, 98), "more requests have come than the pool has servers"
     world.settle()
 
 
-def test_a_cold_servers_limit_is_that_of_the_instances_that_draw_from_it() -> None:
-    """Of 40 instances with pools of 10 of 60 servers, seven draw from one: chance weighs more for seven."""
+def test_the_budget_of_a_cold_server_is_that_of_the_instances_that_sample_from_it() -> None:
+    """Of 40 instances with pools of 10 of 60 servers, seven sample from one: fewer requests vary more."""
     world = fleet(60, balancers=40)
     asked = []
     used = world.balancer._used
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to be red: they run, are printed, and may not pass."""
+"""KNOWN-RED.txt lists tests that are known to fail: they run, are printed, and must not pass."""
 
 from __future__ import annotations
 
@@ -28,12 +28,14 @@
 @pytest.mark.parametrize(
     ("listed", "other"),
     [
-        (None, True),  # no file, no exception
+        (None, True),  # no file, so no exceptions
         ("test_a.py::test_red | a cause | 40\n", False),  # another fails
         ("test_a.py::test_red | a cause | 40\ntest_a.py::test_green | a cause | 40\n", True),  # one passes
     ],
 )
-def test_all_else_fails_the_run(pytester: pytest.Pytester, listed: str | None, other: bool) -> None:
+def test_other_failures_and_listed_tests_that_pass_fail_the_run(
+    pytester: pytest.Pytester, listed: str | None, other: bool
+) -> None:
     assert outcome(pytester, listed, other)[0] == 1
 
 
@@ -47,6 +49,6 @@
         "test_a.py::test_red | a cause | 40\n" * 2,
     ],
 )
-def test_a_list_that_cannot_be_used_ends_the_run(pytester: pytest.Pytester, listed: str) -> None:
+def test_an_invalid_list_ends_the_run(pytester: pytest.Pytester, listed: str) -> None:
     code, said = outcome(pytester, listed)
     assert code == 4 and "KNOWN-RED.txt" in said
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -1,4 +1,4 @@
-"""Places of classes over changes of the settings: used again once nothing holds them, and never sooner."""
+"""Places of classes over changes of the settings: reused once nothing holds them, and never sooner."""
 
 from __future__ import annotations
 
@@ -40,16 +40,16 @@
 FEWER_CHANGES = 1000
 SERVERS = 300
 NAMES = "abcd"
-UNDER_WAY = 12  # requests that are open at any time in the long run
+OPEN_REQUESTS = 12  # number of open requests at any time in `LongRun`
 
 
 def changed(klass: RequestClass, serial: int) -> RequestClass:
-    """The same class with terms that it never had."""
+    """The same class with new terms."""
     return replace(klass, window=klass.window + serial, deadline=klass.deadline + serial)
 
 
 def state_size(balancer: Balancer) -> Counter[str]:
-    """How many objects of each type the module holds, directly or not."""
+    """Number of objects of each type that the module refers to, directly or indirectly."""
     balancer.acts = []
     count: Counter[str] = Counter()
     seen: set[int] = set()
@@ -67,7 +67,7 @@
 
 
 def module_objects(balancer: Balancer) -> dict[str, int]:
-    """Of its state, what a change of the settings could leave behind; numbers come and go."""
+    """The part of `state_size` that settings changes could leak; the number of plain values varies."""
     count = state_size(balancer)
     kinds = (
         "Server",
@@ -84,7 +84,7 @@
 
 
 class LongRun:
-    """A balancer under load whose settings change again and again, with requests under way all the time."""
+    """A balancer whose settings change repeatedly while there are always open requests."""
 
     def __init__(self, servers: int, rename: bool = False, restarts: bool = False) -> None:
         self.rng, self.world = Random(43), World(make_settings(balancers=1, attempt_limit=2))
@@ -113,11 +113,11 @@
             self.forget_finished()
 
     def load(self) -> None:
-        """One more request; the oldest ends. Most go well, some fail so that the module notes it."""
+        """Submits one more request and ends the oldest. Some fail, so that class states are kept."""
         world = self.world
         in_force = [n for n in range(len(world.settings.classes)) if n not in world.settings.retired]
         self.open.append(world.submit(self.rng.choice(in_force)))
-        if len(self.open) > UNDER_WAY:
+        if len(self.open) > OPEN_REQUESTS:
             rid = self.open.pop(0)
             outcome = self.rng.choice([Outcome.OK, Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT])
             world.end_all(rid, outcome)
@@ -131,7 +131,7 @@
         self.world.actions.clear()
 
     def settle(self) -> dict[str, int]:
-        """What is left once all requests are over and the module has looked round."""
+        """The objects left once all requests are closed and the module has swept."""
         for rid in self.open:
             self.world.gone(rid)
             self.world.end_all(rid, Outcome.CANCELLED)
@@ -141,7 +141,7 @@
         return module_objects(self.world.balancer)
 
 
-def memory_is_flat(changes: int, rename: bool = False, restarts: bool = False) -> None:
+def check_memory_is_bounded(changes: int, rename: bool = False, restarts: bool = False) -> None:
     run = LongRun(SERVERS, rename, restarts)
     sizes: list[dict[str, int]] = []
     places: set[int] = set()
@@ -151,30 +151,30 @@
         places.add(len(balancer.settings.classes))
         assert len(balancer.records) == len(balancer.settings.classes)
         if n % (changes // 4) == 0:
-            assert balancer.open, "requests are under way on old terms"
+            assert balancer.open, "there are open requests with old terms"
             assert any(item.request.klass in balancer.settings.retired for item in balancer.open.values())
             sizes.append(module_objects(balancer))
-    assert max(places) <= 2 * len(CLASSES) + UNDER_WAY
+    assert max(places) <= 2 * len(CLASSES) + OPEN_REQUESTS
     for kind in ("ClassRecord", "RequestClass", "ClassState", "Server", "tuple"):
-        most = 2 * (SERVERS + 4 * len(CLASSES) + UNDER_WAY)
-        assert max(size[kind] for size in sizes[1:]) <= sizes[0][kind] + 3 * UNDER_WAY, (kind, sizes)
+        most = 2 * (SERVERS + 4 * len(CLASSES) + OPEN_REQUESTS)
+        assert max(size[kind] for size in sizes[1:]) <= sizes[0][kind] + 3 * OPEN_REQUESTS, (kind, sizes)
         assert max(size[kind] for size in sizes) <= most, (kind, sizes)
     left = run.settle()
     assert left["Open"] == left["Request"] == 0
-    assert left["ClassRecord"] <= 2 * len(CLASSES) + UNDER_WAY and left["Server"] == SERVERS
+    assert left["ClassRecord"] <= 2 * len(CLASSES) + OPEN_REQUESTS and left["Server"] == SERVERS
     assert all(state.failures for record in run.world.balancer.records for state in record.states.values())
 
 
-def test_memory_is_flat_over_ten_thousand_changes_with_requests_under_way() -> None:
-    memory_is_flat(CHANGES)
+def test_memory_is_bounded_over_ten_thousand_changes_with_open_requests() -> None:
+    check_memory_is_bounded(CHANGES)
 
 
-def test_memory_is_flat_where_each_class_has_a_name_of_its_own() -> None:
-    memory_is_flat(FEWER_CHANGES, rename=True)
+def test_memory_is_bounded_if_each_class_has_a_new_name() -> None:
+    check_memory_is_bounded(FEWER_CHANGES, rename=True)
 
 
-def test_memory_is_flat_while_servers_restart() -> None:
-    memory_is_flat(FEWER_CHANGES, restarts=True)
+def test_memory_is_bounded_while_servers_restart() -> None:
+    check_memory_is_bounded(FEWER_CHANGES, restarts=True)
 
 
 def test_classes_that_are_fewer_need_fewer_places() -> None:
@@ -185,7 +185,7 @@
     assert balancer.settings.retired == {3, 4, 5}
 
 
-def test_a_free_place_goes_to_its_name_first_and_else_the_longest_free_is_taken() -> None:
+def test_a_free_place_is_reused_by_its_name_first_else_the_longest_free_is_taken() -> None:
     first, second, third = (replace(CLASSES[0], name=name) for name in "abc")
 
     def after(*changes: tuple[RequestClass, ...]) -> Balancer:
@@ -194,24 +194,23 @@
             balancer.on_settings(0, make_settings(classes=classes))
         return balancer
 
-    vanished = (second, third), (third,)  # the first class, then the second
+    removed = (second, third), (third,)  # the first class, then the second
     other, again = replace(CLASSES[0], name="other"), changed(second, 1)
-    assert after(*vanished, (third, other)).settings.classes == (other, second, third)
-    assert after(*vanished, (third, again)).settings.classes == (first, again, third)
-    assert after(*vanished, (third, other, again)).settings.classes == (other, again, third)
-    assert after(*vanished, (third, first)).settings.classes == (first, second, third)
-    assert after(*vanished, (third, first)).settings.retired == {1}
-    back = after(
-        *vanished, (third, other), (third, other, changed(first, 1))
-    )  # its place was taken meanwhile
+    assert after(*removed, (third, other)).settings.classes == (other, second, third)
+    assert after(*removed, (third, again)).settings.classes == (first, again, third)
+    assert after(*removed, (third, other, again)).settings.classes == (other, again, third)
+    assert after(*removed, (third, first)).settings.classes == (first, second, third)
+    assert after(*removed, (third, first)).settings.retired == {1}
+    # The place of the first class was taken meanwhile.
+    back = after(*removed, (third, other), (third, other, changed(first, 1)))
     assert back.settings.classes == (other, changed(first, 1), third)
 
 
-# ---- a place is never given away while it is held ----
+# ---- a place is not reused while it is held ----
 
 
 class Holding(RuleBasedStateMachine):
-    """Requests come, are sent, copied, streamed, given up and end late, while the settings change."""
+    """Requests are sent, copied, streamed, abandoned and end late while the settings change."""
 
     narrow = False
 
@@ -274,7 +273,7 @@
         again=st.booleans(),
     )
     def settings_change(self, names: list[str], kinds: list[Idempotency], again: bool) -> None:
-        """`again`: to terms that may have been in force before."""
+        """`again`: with terms that may have been in force before."""
         self.serial += not again
         classes = tuple(
             replace(CLASSES[n], name=name, idempotency=kind, window=300 * MS + self.serial * MS)
@@ -354,8 +353,8 @@
 TestHoldingNarrowed.settings = LIMITS
 
 
-def place_waits_for_the_last_attempt() -> None:
-    """Answered, its client gone: an attempt that is still out is of its class until it comes back."""
+def check_place_waits_for_the_last_attempt() -> None:
+    """An attempt in flight holds the place of its class, even if the request is closed or the client left."""
     for left in (False, True):
         world = World(make_settings(classes=(CLASSES[2],), cancel_allowed=False))
         world.announce(ListKind.FULL, *(entry(n) for n in range(4)))
@@ -376,14 +375,14 @@
 
 
 def test_a_place_waits_for_the_last_attempt_of_its_last_request() -> None:
-    place_waits_for_the_last_attempt()
+    check_place_waits_for_the_last_attempt()
 
 
 # ---- decisions ----
 
 
-def drawn_story(seed: int, held: Callable[[Balancer], Collection[int]]) -> list[list[Action]]:
-    """What the module decides in a drawn story with changes; what is drawn depends on its actions alone."""
+def random_scenario(seed: int, held: Callable[[Balancer], Collection[int]]) -> list[list[Action]]:
+    """The module's actions in a random scenario with settings changes; only they influence what is drawn."""
     rng, now, serial = Random(seed), 100 * S, 0
     settings = make_settings(balancers=rng.choice([1, 4, 50]))
     balancer, classes = Balancer(settings, seed), list(CLASSES)
@@ -393,7 +392,7 @@
     closed: set[str] = set()
     timers: list[tuple[int, str]] = []
 
-    def tell(actions: list[Action]) -> None:
+    def record(actions: list[Action]) -> None:
         decided.append(actions)
         for action in actions:
             if isinstance(action, Send):
@@ -408,32 +407,32 @@
         server, sent = out.pop(key)
         closed.update([key[0]] if outcome is Outcome.OK else [])
         final = key[0] in closed
-        tell(balancer.on_attempt_end(now, AttemptEnd(*key, server, outcome, now - sent, final)))
+        record(balancer.on_attempt_end(now, AttemptEnd(*key, server, outcome, now - sent, final)))
 
-    tell(balancer.on_start(now))
-    tell(balancer.on_list(now, ServerList(ListKind.FULL, tuple(entry(n) for n in range(20)))))
+    record(balancer.on_start(now))
+    record(balancer.on_list(now, ServerList(ListKind.FULL, tuple(entry(n) for n in range(20)))))
     for step in range(1500):
         now += rng.choice([0, MS, 5 * MS, 20 * MS])
         for timer in sorted(t for t in timers if t[0] <= now):
             timers.remove(timer)
-            tell(balancer.on_timer(now, timer[1]))
+            record(balancer.on_timer(now, timer[1]))
         event = rng.random()
         if event < 0.4:
             klass = rng.choice(classes)
             place = balancer.settings.classes.index(klass)
             hint = rng.choice([0, 20 * MS])
-            tell(balancer.on_request(now, Request(f"r{step}", place, now + klass.deadline, hint)))
+            record(balancer.on_request(now, Request(f"r{step}", place, now + klass.deadline, hint)))
         elif event < 0.9 and out:
             outcomes = [Outcome.OK] * 8 + [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.FULL]
             end(rng.choice(list(out)), rng.choice(outcomes))
         elif event < 0.92 and out:
             rid = rng.choice(list(out))[0]
             closed.add(rid)
-            tell(balancer.on_client_gone(now, rid))
+            record(balancer.on_client_gone(now, rid))
         elif event < 0.95:
             state = rng.choice([ServerState.READY, ServerState.READY, ServerState.GONE])
             one = entry(rng.randrange(22), state, rng.choice([0, now - 100 * MS]))
-            tell(balancer.on_list(now, ServerList(ListKind.DELTA, (one,))))
+            record(balancer.on_list(now, ServerList(ListKind.DELTA, (one,))))
         elif event < 0.97:
             serial += 1
             n = rng.randrange(len(classes))
@@ -441,22 +440,22 @@
             if rng.random() < 0.2:
                 classes.append(replace(classes[n], name=f"n{serial}"))
             new = replace(settings, classes=tuple(classes))
-            tell(balancer.on_settings(now, new, rng.choice([None, narrower]), held(balancer)))
+            record(balancer.on_settings(now, new, rng.choice([None, narrower]), held(balancer)))
     return decided
 
 
-def test_decisions_are_those_of_a_module_that_never_uses_a_place_again() -> None:
+def test_decisions_do_not_depend_on_the_reuse_of_places() -> None:
     for seed in range(4):
-        never = drawn_story(seed, lambda balancer: range(len(balancer.records)))
-        assert drawn_story(seed, lambda balancer: ()) == never
+        never = random_scenario(seed, lambda balancer: range(len(balancer.records)))
+        assert random_scenario(seed, lambda balancer: ()) == never
         assert sum(isinstance(a, Send) for actions in never for a in actions) > 300
 
 
-# ---- what was learned ----
+# ---- what was learned of a class ----
 
 
-def learned_of_one_class_alone() -> tuple[World, RequestClass]:
-    """A world in which the first class is slow and fails at server 0, and nothing is under way."""
+def world_with_one_failing_class() -> tuple[World, RequestClass]:
+    """A world without open requests in which the first class is slow and fails at server 0."""
     world = World(make_settings(classes=CLASSES[:2], balancers=1))
     world.announce(ListKind.FULL, *(entry(n) for n in range(3)))
     record = world.balancer.records[0]
@@ -479,8 +478,8 @@
     return world, record.klass
 
 
-def a_new_class_has_nothing_of_the_one_whose_place_it_takes() -> None:
-    world, _ = learned_of_one_class_alone()
+def check_a_new_class_inherits_nothing_from_another() -> None:
+    world, _ = world_with_one_failing_class()
     other = replace(CLASSES[2], name="other")
     world.balancer.on_settings(world.now, make_settings(classes=(other, CLASSES[1])))
     assert world.balancer.settings.classes == (other, CLASSES[1])
@@ -492,13 +491,13 @@
     )
 
 
-def a_class_with_new_terms_goes_on_with_what_was_learned() -> None:
-    """Also beside requests under way on the old terms, and each learns for itself from then on."""
-    for under_way in (False, True):
-        world, klass = learned_of_one_class_alone()
+def check_a_class_with_new_terms_keeps_what_was_learned() -> None:
+    """Also with open requests on the old terms; from then on each learns separately."""
+    for open_request in (False, True):
+        world, klass = world_with_one_failing_class()
         balancer = world.balancer
         old, failing = balancer.records[0], balancer.servers[0]
-        rid = world.submit(0) if under_way else ""
+        rid = world.submit(0) if open_request else ""
         states = {
             server: replace(state, in_flight=0, silent_since=0)
             for server, state in old.states.items()
@@ -506,11 +505,11 @@
         }
         balancer.on_settings(world.now, make_settings(classes=(changed(klass, 1), CLASSES[1])))
         place = balancer.settings.classes.index(changed(klass, 1))
-        assert place == (2 if under_way else 0)
+        assert place == (2 if open_request else 0)
         new = balancer.records[place]
         assert (new.usual, new.mean_cost_hint) == (old.usual, old.mean_cost_hint)
         assert {s: replace(state, silent_since=0) for s, state in new.states.items()} == states
-        if under_way:
+        if open_request:
             assert balancer.open[rid].record is old
             world.end(rid, 0, Outcome.OK)
             assert old.usual != new.usual and sum(state.in_flight for state in new.states.values()) == 0
@@ -518,16 +517,16 @@
             assert new.states[failing].failures == HANG_THRESHOLD + 1
 
 
-def test_a_new_class_has_nothing_of_the_one_whose_place_it_takes() -> None:
-    a_new_class_has_nothing_of_the_one_whose_place_it_takes()
+def test_a_new_class_inherits_nothing_from_another_at_its_place() -> None:
+    check_a_new_class_inherits_nothing_from_another()
 
 
-def test_a_class_with_new_terms_goes_on_with_what_was_learned() -> None:
-    a_class_with_new_terms_goes_on_with_what_was_learned()
+def test_a_class_with_new_terms_keeps_what_was_learned() -> None:
+    check_a_class_with_new_terms_keeps_what_was_learned()
 
 
-def test_a_class_that_vanished_and_comes_back_has_what_was_learned_while_its_place_is_free() -> None:
-    world, klass = learned_of_one_class_alone()
+def test_a_class_that_was_removed_and_returns_keeps_what_was_learned_while_its_place_is_free() -> None:
+    world, klass = world_with_one_failing_class()
     balancer = world.balancer
     balancer.on_settings(world.now, make_settings(classes=(CLASSES[1],)))
     assert balancer.settings.retired == {0}
@@ -535,14 +534,15 @@
     assert balancer.records[0].usual == 111 * MS and balancer.settings.classes[0] == changed(klass, 1)
 
 
-def test_a_request_for_a_class_that_is_out_of_force_gets_no_more_than_both_terms_allow() -> None:
+def test_a_request_for_a_retired_class_is_restricted_to_what_both_terms_allow() -> None:
     keyed = CLASSES[3]
     unsafe = replace(keyed, idempotency=Idempotency.UNSAFE)
     for narrow, sent in ((None, 2), (narrower, 1)):
         world = World(make_settings(classes=(keyed,), balancers=1))
         world.announce(ListKind.FULL, *(entry(n) for n in range(6)))
         new = make_settings(classes=(unsafe,))
-        world.balancer.on_settings(world.now, new, narrow, held={0})  # read before, told after the change
+        # Read before the change, submitted after it.
+        world.balancer.on_settings(world.now, new, narrow, held={0})
         assert world.balancer.settings.retired == {0}
         rid = world.submit(0)
         world.end(rid, 0, Outcome.RESET)
@@ -551,8 +551,8 @@
         assert world.balancer.records[0].klass == keyed and not world.balancer.records[0].retired
 
 
-def class_states_of_servers_that_are_gone_are_dropped() -> None:
-    world, klass = learned_of_one_class_alone()
+def check_class_states_of_servers_that_left_are_dropped() -> None:
+    world, klass = world_with_one_failing_class()
     balancer = world.balancer
     rid = world.submit(1)
     busy = world.requests[rid].servers[0]
@@ -567,26 +567,26 @@
     assert world.requests[rid].klass.name != klass.name
 
 
-def test_class_states_of_servers_that_are_gone_are_dropped() -> None:
-    class_states_of_servers_that_are_gone_are_dropped()
+def test_class_states_of_servers_that_left_are_dropped() -> None:
+    check_class_states_of_servers_that_left_are_dropped()
 
 
 # ---- seeded defects ----
 
 
-def _whatever_is_held(
+def _ignoring_held_places(
     known: Any, recency: Any, wanted: Any, held: Any, assign: Callable[..., Placement] = assign_places
 ) -> Placement:
     return assign(known, recency, wanted, ())
 
 
-def _never_again(
+def _never_reusing_places(
     known: Any, recency: Any, wanted: Any, held: Any, assign: Callable[..., Placement] = assign_places
 ) -> Placement:
     return assign(known, recency, wanted, range(len(known)))
 
 
-def _held_until_answered(
+def _holding_until_answered(
     self: Balancer,
     now: int,
     settings: Settings,
@@ -602,18 +602,18 @@
         self.open = items
 
 
-def _learned_by_place(
+def _inheriting_by_place(
     self: Balancer, klass: RequestClass, before: int | None, inherit: Any = Balancer._inherit
 ) -> ClassRecord:
-    """A class gets what was learned at its place, whoever that was."""
+    """A class inherits what was learned at its place, from whichever class."""
     found: ClassRecord = inherit(self, klass, 0 if before is None else before)
     return found
 
 
-def _states_shared(
+def _sharing_states(
     self: Balancer, klass: RequestClass, before: int | None, inherit: Any = Balancer._inherit
 ) -> ClassRecord:
-    """The old terms and the new ones learn into the same states."""
+    """Old and new terms share the same class states."""
     found: ClassRecord = inherit(self, klass, before)
     if before is not None:
         found.states = self.records[before].states
@@ -621,23 +621,25 @@
 
 
 DEFECTS: dict[str, Defect] = {
-    "a place is used again while a request is under way": patched(rules, "assign_places", _whatever_is_held),
+    "a place is used again while a request is under way": patched(
+        rules, "assign_places", _ignoring_held_places
+    ),
     "an answered request holds no place though its attempt is out": patched(
-        Balancer, "on_settings", _held_until_answered
+        Balancer, "on_settings", _holding_until_answered
     ),
-    "a place is never used again": patched(rules, "assign_places", _never_again),
+    "a place is never used again": patched(rules, "assign_places", _never_reusing_places),
     "states of servers that are gone stay": patched(Balancer, "_drop_stale_states", lambda self: None),
-    "a new class has what was learned of another": patched(Balancer, "_inherit", _learned_by_place),
-    "old and new terms share their states": patched(Balancer, "_inherit", _states_shared),
+    "a new class has what was learned of another": patched(Balancer, "_inherit", _inheriting_by_place),
+    "old and new terms share their states": patched(Balancer, "_inherit", _sharing_states),
 }
 
 FINDERS: dict[str, Callable[[], None]] = {
-    "a place is used again while a request is under way": place_waits_for_the_last_attempt,
-    "an answered request holds no place though its attempt is out": place_waits_for_the_last_attempt,
-    "a place is never used again": lambda: memory_is_flat(FEWER_CHANGES),
-    "states of servers that are gone stay": class_states_of_servers_that_are_gone_are_dropped,
-    "a new class has what was learned of another": a_new_class_has_nothing_of_the_one_whose_place_it_takes,
-    "old and new terms share their states": a_class_with_new_terms_goes_on_with_what_was_learned,
+    "a place is used again while a request is under way": check_place_waits_for_the_last_attempt,
+    "an answered request holds no place though its attempt is out": check_place_waits_for_the_last_attempt,
+    "a place is never used again": lambda: check_memory_is_bounded(FEWER_CHANGES),
+    "states of servers that are gone stay": check_class_states_of_servers_that_left_are_dropped,
+    "a new class has what was learned of another": check_a_new_class_inherits_nothing_from_another,
+    "old and new terms share their states": check_a_class_with_new_terms_keeps_what_was_learned,
 }
 
 test_every_defect_has_its_finder, test_the_defect_is_found = defect_tests(
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""The four rules as properties over arbitrary legal event sequences."""
+"""Properties of the decision module over arbitrary valid event sequences; the harness checks each action."""
 
 from __future__ import annotations
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter as a subprocess on small hand-written dialogues; determinism; what the module may import."""
+"""The simulator adapter as a subprocess on short dialogues; determinism; limits of the decision module."""
 
 from __future__ import annotations
 
@@ -123,15 +123,15 @@
         (batch(1, 0, *configure(balancers="many")), "wrong kind"),
     ],
 )
-def test_malformed_input_gets_one_plain_line(text: str, says: str) -> None:
+def test_malformed_input_gets_a_one_line_message(text: str, says: str) -> None:
     done = run(text)
     assert done.returncode != 0
     assert says in done.stderr and done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
     assert all(x.split("\t")[0] in {"END", "TIMER", "PLACE", "WATCH"} for x in done.stdout.splitlines())
 
 
-def story(instances: list[int]) -> str:
-    """The same life for each instance, with answers to whatever was sent left out on purpose."""
+def scenario(instances: list[int]) -> str:
+    """The same events for each instance. Attempts get no answers, on purpose."""
     out = batch(1, 0, *(x for i in instances for x in configure(i, seed=i + 1)))
     for n in range(2, 80):
         now = n * 20000000
@@ -143,22 +143,22 @@
     return [x for x in text.splitlines() if x.split("\t")[:2][1:] == [str(i)] and not x.startswith("END")]
 
 
-def test_same_events_same_actions_however_hashed_or_shared() -> None:
-    together = [run(story([0, 1, 2]), PYTHONHASHSEED=seed).stdout for seed in ("0", "1", "4242")]
+def test_same_events_give_same_actions_for_any_hash_seed_and_beside_other_instances() -> None:
+    together = [run(scenario([0, 1, 2]), PYTHONHASHSEED=seed).stdout for seed in ("0", "1", "4242")]
     assert together[0] == together[1] == together[2]
     for i in (0, 1, 2):
-        alone = run(story([i])).stdout
+        alone = run(scenario([i])).stdout
         assert actions_of(alone, i) == actions_of(together[0], i) and len(actions_of(alone, i)) > 50
 
 
-def test_the_module_keeps_its_limits() -> None:
+def test_the_module_is_short_enough_and_names_its_interface() -> None:
     lines = RULES.read_text().splitlines()
     assert sum(bool(x.strip()) for x in lines) <= 1200
     assert max(map(len, lines)) <= 110
     assert "interface.py" in "".join(lines[:3])
 
 
-def test_the_module_reaches_no_clock_file_or_environment() -> None:
+def test_the_module_uses_no_clock_file_or_environment() -> None:
     tree = ast.parse(RULES.read_text())
     imported = {a.name for n in ast.walk(tree) if isinstance(n, ast.Import) for a in n.names}
     imported |= {n.module or "" for n in ast.walk(tree) if isinstance(n, ast.ImportFrom)}
@@ -167,4 +167,4 @@
     assert not names & {"open", "eval", "exec", "hash", "id", "__import__", "print", "input"}
     froms = [n for n in ast.walk(tree) if isinstance(n, ast.ImportFrom)]
     taken = {a.name for n in froms if n.module == "random" for a in n.names}
-    assert taken == {"Random"}, "only a seeded source of its own"
+    assert taken == {"Random"}, "only a seeded generator of its own"
--- a/tests/test_word.py
+++ b/tests/test_word.py
@@ -1,4 +1,4 @@
-"""What the fleet has agreed on, as events of the decision module: in doubt it is never bolder than before."""
+"""What the fleet has agreed on, as an event of the module; in doubt nothing that may have run is repeated."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def warmed(kind: Idempotency = SAFE) -> Balancer:
-    """A balancer of eight servers that have all answered something: it copies what is safe."""
+    """A balancer with eight servers that have all answered something, so that it copies safe requests."""
     balancer = Balancer(make_settings(classes=(klass(kind),)), 1)
     balancer.on_list(0, ServerList(ListKind.FULL, tuple(entry(n) for n in range(8))))
     for server in balancer.servers.values():
@@ -41,25 +41,26 @@
 
 
 def test_in_doubt_nothing_is_copied_and_nothing_that_may_have_run_is_sent_again() -> None:
-    bold = warmed()
-    assert len(sends(ask(bold, MS))) > 1
-    timid = warmed()
-    timid.on_word(0, Word(doubtful=True))
-    first = sends(ask(timid, MS))
+    certain = warmed()
+    assert len(sends(ask(certain, MS))) > 1
+    doubtful = warmed()
+    doubtful.on_word(0, Word(doubtful=True))
+    first = sends(ask(doubtful, MS))
     assert len(first) == 1
-    again = timid.on_attempt_end(2 * MS, end("r", 0, first[0].server, Outcome.RESET))
-    assert not sends(list(again)) and any(isinstance(a, Fail) for a in again)  # no "do try again" either
+    again = doubtful.on_attempt_end(2 * MS, end("r", 0, first[0].server, Outcome.RESET))
+    # And the client is not told to retry.
+    assert not sends(list(again)) and any(isinstance(a, Fail) for a in again)
 
 
-def test_in_doubt_what_surely_has_not_run_is_sent_again() -> None:
-    timid = warmed(UNSAFE)
-    timid.on_word(0, Word(doubtful=True))
-    first = sends(ask(timid, MS))
-    assert sends(list(timid.on_attempt_end(2 * MS, end("r", 0, first[0].server, Outcome.CONNECT_FAILED))))
+def test_in_doubt_what_has_certainly_not_run_is_sent_again() -> None:
+    doubtful = warmed(UNSAFE)
+    doubtful.on_word(0, Word(doubtful=True))
+    first = sends(ask(doubtful, MS))
+    assert sends(list(doubtful.on_attempt_end(2 * MS, end("r", 0, first[0].server, Outcome.CONNECT_FAILED))))
 
 
-def test_a_request_under_way_gives_up_what_the_new_terms_forbid() -> None:
-    """Safe as it came, unsafe meanwhile: its copy that broke is not followed by another."""
+def test_an_open_request_respects_stricter_new_terms() -> None:
+    """Safe when it arrived, unsafe by now: a copy that was reset is not followed by another."""
     for narrow in (False, True):
         balancer = warmed()
         first = sends(ask(balancer, MS))
@@ -71,7 +72,7 @@
         assert bool(sends(found)) is not narrow
 
 
-def test_servers_held_out_and_classes_closed() -> None:
+def test_excluded_servers_get_nothing_and_closed_classes_are_refused() -> None:
     balancer = warmed()
     others = frozenset(range(1, 8))
     balancer.on_word(0, Word(out=others))
@@ -106,7 +107,7 @@
         ((KEYED, Scope.ZONE), (KEYED, Scope.CELL), UNSAFE),
     ],
 )
-def test_narrower_terms_are_those_that_both_allow(
+def test_restricted_terms_are_those_that_both_allow(
     one: tuple[Idempotency, Scope], other: tuple[Idempotency, Scope], kind: Idempotency
 ) -> None:
     a, b = klass(*one), replace(klass(*other), window=7)
