--- a/dykeshift/rules.py
+++ b/dykeshift/rules.py
@@ -56,11 +56,11 @@
 # Above one, quick answers in advance offset a few slow ones: an instance that gets few answers does not
 # take a single slow one for an overload.
 MAX_ADMISSION = 1.15
-# Enough requests to notice that answers are quick again.
+# Least admitted share: enough requests to notice that answers are quick again.
 MIN_ADMISSION = 0.1
 # Weight of one request in the overload estimate, and the share of requests that may find no server with
-# free capacity before classes of low worth have to wait.
-OVERLOAD_SMOOTHING_WEIGHT, OVERLOAD_TOLERATED_SHARE = 0.02, 0.1
+# free capacity without raising it. While it is raised, classes of low worth wait.
+OVERLOAD_STEP, OVERLOAD_TOLERATED_SHARE = 0.02, 0.1
 # Share of the aim between two samples for a request that found no server.
 RECHECK_AIM_SHARE = 0.1
 # Multiple of the expected latency: with less time than this left before the aim a request is not begun.
@@ -142,7 +142,7 @@
 
 
 # Restricts the first class to the repeats that both allow.
-Narrower = Callable[[RequestClass, RequestClass], RequestClass]
+RestrictRepeats = Callable[[RequestClass, RequestClass], RequestClass]
 
 
 @dataclass(slots=True)
@@ -343,15 +343,15 @@
         self,
         now: int,
         settings: Settings,
-        narrower: Narrower | None = None,
+        restrict_repeats: RestrictRepeats | None = None,
         held: Collection[int] = frozenset(),
     ) -> list[Action]:
         """Replaces the settings. All their classes are in force; `self.settings` has each at its place.
 
-        A new class under a known name takes over what was learned of the previous one. `narrower`: if given,
-        open requests, and requests that still come for a retired class, are restricted to what both their own
-        terms and the new terms under the name of their class allow. `held`: places that requests may still
-        come for, besides the places of open requests.
+        A new class under a known name takes over what was learned of the previous one. `held`: places that
+        requests may still come for, besides the places of open requests. `restrict_repeats`: if given, open
+        requests, and requests that still come for a retired class, are restricted to what both their own
+        terms and the new terms under the name of their class allow.
         """
         open_places = {item.request.klass for item in self.open.values()}
         recency = [float(record.retired or "inf") for record in self.records]
@@ -367,16 +367,16 @@
                 record.retired = 0
                 continue
             record.retired, record.relative_worth = record.retired or self.settings_changes, 1.0
-            if narrower is not None:
-                record.klass = narrower(klass, terms.get(klass.name, klass))
+            if restrict_repeats is not None:
+                record.klass = restrict_repeats(klass, terms.get(klass.name, klass))
         self.records_in_force = sorted(
             (record for record in self.records if not record.retired), key=lambda record: record.sequence
         )
         self.longest_aim = max((record.klass.aim for record in self.records_in_force), default=0)
         self._update_relative_worth()
-        if narrower is not None:
+        if restrict_repeats is not None:
             for item in self.open.values():
-                item.klass = narrower(item.klass, terms.get(item.klass.name, item.klass))
+                item.klass = restrict_repeats(item.klass, terms.get(item.klass.name, item.klass))
                 item.most = min(item.most, settings.attempt_limit)
         return self._done()
 
@@ -640,6 +640,7 @@
         )
 
     def _allowed(self, now: int, item: Open, server: Server) -> bool:
+        """Whether the request may be sent to this server now."""
         if any(attempt.server is server for attempt in item.attempts):
             return False
         anchor, scope = item.anchor(), item.klass.scope
@@ -695,13 +696,14 @@
     def _likely_to_finish(self, now: int, item: Open) -> bool:
         """Whether an attempt that begins now is likely to be answered before the process ends.
 
-        An attempt that is cut off may have run, so its client could not be told to try elsewhere.
+        An attempt that is cut off may have run, so its request could not be refused for a retry elsewhere.
         """
         return not self.terminating or now + self._expected(item) < item.request.deadline
 
     # ---- idle servers ----
 
     def _idle(self, now: int, server: Server) -> bool:
+        """Whether the server is expected to process a request without delay."""
         near = server.entry.zone == self.settings.zone
         if (
             near
@@ -758,8 +760,7 @@
                 1.0,
                 max(
                     0.0,
-                    self.crowd
-                    + OVERLOAD_SMOOTHING_WEIGHT * ((not sample and not shed) - OVERLOAD_TOLERATED_SHARE),
+                    self.crowd + OVERLOAD_STEP * ((not sample and not shed) - OVERLOAD_TOLERATED_SHARE),
                 ),
             )
         if not sample:
@@ -997,7 +998,8 @@
                 # It rejects immediately, so it would always look like the freest server.
                 ejection = max(ejection, usual)
             if end.outcome is Outcome.CONNECT_FAILED:
-                server.pool_rank += 1  # dead, or its connection table is full: drops out of our pool
+                # Dead, or all its connections are taken by other balancers: left to them.
+                server.pool_rank += 1
                 self.sorted = False
             # A limit below one: ejects the server for a time, so that one attempt of each of many balancers
             # does not overload it.
@@ -1064,6 +1066,7 @@
         return self._done()
 
     def _sweep(self, now: int) -> None:
+        """Updates the request rate, the pool and the overload response, and drops servers that left."""
         self.sweeps += 1
         weight = max(SMOOTHING_WEIGHT, 1 / max(1, self.sweeps - 1))  # a plain mean of the first few sweeps
         self.arrivals += weight * ((self.arrived - self.arrived_at_sweep) / SWEEP_SHARE - self.arrivals)
