--- a/dykeshift/agree/core.py
+++ b/dykeshift/agree/core.py
@@ -26,17 +26,17 @@
 from dykeshift.agree.log import Base, Log
 from dykeshift.agree.proposals import Answer, Proposals
 from dykeshift.agree.seats import drawn
-from dykeshift.agree.spread import Spread
-from dykeshift.agree.state import NOWHERE, Event, Latest, Machine, Options, Out, Record, Shared
-from dykeshift.agree.voting import PROOF, Role, Voter
-from dykeshift.agree.wire import BLANK, LOST, NO_NUMBER, Epoch, Kind, Message, decode
+from dykeshift.agree.spread import Dissemination
+from dykeshift.agree.state import NO_EPOCH, Event, Latest, Machine, Options, Out, Record, Shared
+from dykeshift.agree.voting import LOG_CHECK_TICKS, Role, Voter
+from dykeshift.agree.wire import BLANK, LOST_ENTRIES, NO_NUMBER, Epoch, Kind, Message, decode
 from dykeshift.view.table import Address
 from dykeshift.view.wire import Bad, Seal
 
-TICK = 2  # times in a beat that everybody looks round
-STALL = 5  # beats that a process may be late before it counts as having stood still
-HAND_OVER = 10  # beats that a process which ends waits for another to have its seat
-HISTORIES = 16  # others under this fleet's name that are remembered
+TICKS_PER_HEARTBEAT = 2  # times in a beat that everybody looks round
+STALL_HEARTBEATS = 5  # beats that a process may be late before it counts as having stood still
+HANDOVER_HEARTBEATS = 10  # beats that a process which ends waits for another to have its seat
+MAX_FOREIGN_HISTORIES = 16  # others under this fleet's name that are remembered
 
 
 class No(Exception):
@@ -57,24 +57,26 @@
         """`places`: where each number of the roster lives, its own too. `disk`: whether records are kept."""
         self.shared = Shared(options, seal, number, places, rng, machine or Latest(), disk)
         self.voter = Voter(self.shared)
-        self.spread = Spread(self.shared, self.voter)
+        self.spread = Dissemination(self.shared, self.voter)
         self.proposals = Proposals(self.shared, self.voter)
         self.options = options
         self.next_at = 0
-        self.blanks: dict[int, int] = {}  # numbers that said they know no history, and their births
-        self.before: dict[int, int] = {}  # the same, as it was once all had said so
-        self.since = 0  # when that was
-        self.strangers: set[int] = set()
-        self.leaves_by = 0
+        self.blank_incarnations: dict[
+            int, int
+        ] = {}  # numbers that said they know no history, and their births
+        self.previous_blank_births: dict[int, int] = {}  # the same, as it was once all had said so
+        self.blank_round_at = 0  # when that was
+        self.foreign_histories: set[int] = set()
+        self.handover_deadline = 0
 
     # ---- what the host calls ----
 
     def start(self, now: int) -> Out:
         self.shared.budget.at = now
         self.next_at = now
-        self.voter.rest(now)
+        self.voter.reset_election_timer(now)
         if self.shared.disk and self.shared.written == 0:
-            self.shared.keep("me", self.shared.epoch, self.shared.birth)
+            self.shared.persist("me", self.shared.epoch, self.shared.birth)
         return self.on_timer(now)
 
     def on_timer(self, now: int) -> Out:
@@ -82,10 +84,11 @@
         if now >= self.next_at:
             self._notice_stall(now)
             self.next_at = max(
-                self.next_at + self.options.beat // TICK, now + self.options.beat // (2 * TICK)
+                self.next_at + self.options.beat // TICKS_PER_HEARTBEAT,
+                now + self.options.beat // (2 * TICKS_PER_HEARTBEAT),
             )
             self._tick(now)
-        return self._done(now)
+        return self._collect_output(now)
 
     def on_datagram(self, now: int, data: bytes, address: Address) -> Out:
         self._notice_stall(now)
@@ -93,12 +96,12 @@
             message = decode(data, self.shared.seal)
         except Bad as exc:
             self.shared.drop(str(exc))
-            return self._done(now)
+            return self._collect_output(now)
         if message.sender == self.shared.me:
             self.shared.drop("own")
         else:
-            self._take(now, message, address)
-        return self._done(now)
+            self._receive(now, message, address)
+        return self._collect_output(now)
 
     def on_roster(self, alive: set[int], places: dict[int, Address]) -> None:
         """Who is believed alive, by number, and where numbers live that were told no place."""
@@ -107,19 +110,19 @@
 
     def on_kept(self, now: int, number: int) -> Out:
         """The first `number` records last."""
-        self.shared.on_kept(number)
-        self.voter.count(now, number)
+        self.shared.on_persisted(number)
+        self.voter.count_votes(now, number)
         self.voter.commit(now)
-        return self._done(now)
+        return self._collect_output(now)
 
-    def on_unkept(self, now: int) -> Out:
+    def on_disk_failed(self, now: int) -> Out:
         """The disk has failed: nobody knows what it holds. What this process goes on with is in memory."""
         shared = self.shared
         shared.disk = False
         shared.records.clear()
-        shared.unkept.clear()
-        self._forget(now)
-        return self._done(now)
+        shared.pending_entries.clear()
+        self._change_incarnation(now)
+        return self._collect_output(now)
 
     def propose(
         self, now: int, body: bytes, expect: int, wait: int, ident: int | None = None
@@ -128,28 +131,28 @@
         self._notice_stall(now)
         number = self.shared.rng.getrandbits(64) or 1 if ident is None else ident
         self.proposals.propose(now, body, expect, wait, number)
-        return number, self._done(now)
+        return number, self._collect_output(now)
 
     def read(self, now: int, wait: int) -> tuple[int, Out]:
         """Its token; the version comes with `take_results`, None where it can't be said."""
         self._notice_stall(now)
         token = self.shared.rng.getrandbits(32) or 1
         self.proposals.read(now, wait, token)
-        return token, self._done(now)
+        return token, self._collect_output(now)
 
     def outcome(self, ident: int, expect: int) -> Answer:
         """What became of a proposal that was not known, as far as this process knows."""
-        return self.proposals.decided(ident, expect)
+        return self.proposals.outcome(ident, expect)
 
     def retire(self, now: int) -> Out:
         """The process will end: another is to have its seat, and to lead."""
-        self.shared.retiring, self.leaves_by = True, now + HAND_OVER * self.options.beat
-        self.voter.hand_over(now)
-        return self._done(now)
+        self.shared.retiring, self.handover_deadline = True, now + HANDOVER_HEARTBEATS * self.options.beat
+        self.voter.transfer_leadership(now)
+        return self._collect_output(now)
 
     def handing_over(self, now: int) -> bool:
         """Whether it is worth staying a moment: its seat is not another's yet."""
-        return self.shared.retiring and self.voter.seated() and now < self.leaves_by
+        return self.shared.retiring and self.voter.seated() and now < self.handover_deadline
 
     def rescue(self, now: int, voters: int | None = None, force: bool = False) -> Out:
         """Go on alone, with all of the log here, in a new epoch; other seats are filled from who answers.
@@ -162,23 +165,23 @@
         shared, voter = self.shared, self.voter
         if shared.number == NO_NUMBER:
             raise No("this balancer was told no number, and cannot vote")
-        if not force and voter.leader is not None and voter.trusting(now):
+        if not force and voter.leader is not None and voter.trusts_leader(now):
             raise No(f"the history is well: number {voter.leader[0]} leads it")
-        best, heard = self.spread.best
-        if not force and best > shared.commit and now - heard <= self.options.lease:
-            raise No(f"somebody in reach has entry {best}, this balancer has {shared.commit}")
-        wanted = voters or shared.log.base.wanted or self.options.voters
-        number = max(shared.epoch[1], shared.heard[1]) + 1
+        most_committed, heard_at = self.spread.most_committed
+        if not force and most_committed > shared.commit and now - heard_at <= self.options.lease:
+            raise No(f"somebody in reach has entry {most_committed}, this balancer has {shared.commit}")
+        target = voters or shared.log.base.wanted or self.options.voters
+        number = max(shared.epoch[1], shared.latest_epoch[1]) + 1
         history = shared.epoch[0] or shared.rng.getrandbits(32) or 1
         shared.advance(shared.log.last)
         base = shared.log.base_at(shared.commit, shared.machine.snapshot())
-        self._found(
+        self._start_epoch(
             now,
             (history, number, shared.birth),
-            Base(base.index, 0, base.chain, base.version, wanted, (shared.me,), (), base.state, base.recent),
+            Base(base.index, 0, base.chain, base.version, target, (shared.me,), (), base.state, base.recent),
         )
-        voter.until = now
-        return self._done(now)
+        voter.election_due = now
+        return self._collect_output(now)
 
     def take_events(self) -> list[Event]:
         events, self.shared.events = self.shared.events, []
@@ -194,15 +197,15 @@
         return answers
 
     def take_results(self) -> dict[int, int | None]:
-        results, self.proposals.results = self.proposals.results, {}
+        results, self.proposals.read_results = self.proposals.read_results, {}
         return results
 
-    def restore(self, life: Kept) -> None:
+    def restore(self, state: Kept) -> None:
         """What a disk held of a whole life, before `start`: it goes on under its birth."""
-        shared, base = self.shared, life.log.base
-        shared.epoch, shared.birth, shared.heard = life.epoch, life.birth, life.heard
-        shared.log, shared.commit = life.log, base.index
-        self.voter.term, self.voter.vote, self.voter.unproved = life.term, life.vote, PROOF
+        shared, base = self.shared, state.log.base
+        shared.epoch, shared.birth, shared.latest_epoch = state.epoch, state.birth, state.heard
+        shared.log, shared.commit = state.log, base.index
+        self.voter.term, self.voter.vote, self.voter.log_check_ticks = state.term, state.vote, LOG_CHECK_TICKS
         shared.machine.restore(base.version, base.state)
         if base.version:
             shared.emit("installed", version=base.version, body=base.state)
@@ -210,38 +213,38 @@
     def adopt(self, now: int, epoch: Epoch, base: Base) -> Out:
         """Belong to an epoch whose base was handed over otherwise than by datagrams, after `start`."""
         self._enter(now, epoch, base)
-        return self._done(now)
+        return self._collect_output(now)
 
     def life(self) -> Kept:
         """All that a disk has to hold of this life."""
         shared, voter = self.shared, self.voter
-        return Kept(shared.epoch, shared.birth, voter.term, voter.vote, shared.log, shared.heard)
+        return Kept(shared.epoch, shared.birth, voter.term, voter.vote, shared.log, shared.latest_epoch)
 
     # ---- inside ----
 
-    def _done(self, now: int) -> Out:
+    def _collect_output(self, now: int) -> Out:
         shared = self.shared
-        if shared.commit > self.spread.pushed:
-            for address in self.proposals.tell(now):
-                self.spread.pass_on(now, address)
-        self.proposals.look(now)
-        self.proposals.confirm(now)
+        if shared.commit > self.spread.pushed_index:
+            for address in self.proposals.proposers_to_notify(now):
+                self.spread.push(now, address)
+        self.proposals.resolve(now)
+        self.proposals.answer_confirmed_reads(now)
         out, shared.out = shared.out, []
         return out
 
     def _notice_stall(self, now: int) -> None:
-        if now - self.next_at > STALL * self.options.beat:
-            self.voter.check(now)
-            self.voter.rest(now)
+        if now - self.next_at > STALL_HEARTBEATS * self.options.beat:
+            self.voter.check_quorum(now)
+            self.voter.reset_election_timer(now)
 
     def _tick(self, now: int) -> None:
         if self.shared.blank:
-            self._look_for_start(now)
+            self._try_start_history(now)
         self.voter.on_tick(now)
         self.spread.on_tick(now)
         self.proposals.on_tick(now)
 
-    def _look_for_start(self, now: int) -> None:
+    def _try_start_history(self, now: int) -> None:
         """The first voter of the roster begins the history, once all places said twice that they know none.
 
         A process that knew none and knows one does not forget it under its birth; so who says so a second
@@ -251,24 +254,32 @@
         numbers = drawn(self.options.voters, len(shared.places))
         if not numbers or shared.number != numbers[0]:
             return
-        silent = self._silent()
-        if silent or self.spread.target is not None:
-            for number in silent[:4]:
-                self.spread.ask(now, number)
+        missing = self._unconfirmed_places()
+        if missing or self.spread.fetch_target is not None:
+            for number in missing[:4]:
+                self.spread.query(now, number)
             return
-        if self.blanks != self.before:
-            self.before, self.blanks, self.since = self.blanks, {}, now
-            self._look_for_start(now)
+        if self.blank_incarnations != self.previous_blank_births:
+            self.previous_blank_births, self.blank_incarnations, self.blank_round_at = (
+                self.blank_incarnations,
+                {},
+                now,
+            )
+            self._try_start_history(now)
             return
-        seats = tuple(sorted((n, self.blanks[n] if n != shared.number else shared.birth) for n in numbers))
+        seats = tuple(
+            sorted((n, self.blank_incarnations[n] if n != shared.number else shared.birth) for n in numbers)
+        )
         epoch = (shared.rng.getrandbits(32) or 1, 1, shared.birth)
-        self._found(now, epoch, Base(wanted=len(numbers), now=seats))
+        self._start_epoch(now, epoch, Base(wanted=len(numbers), now=seats))
 
-    def _silent(self) -> list[int]:
+    def _unconfirmed_places(self) -> list[int]:
         """Places that have not said that they know no history."""
-        return sorted(n for n in self.shared.places if n != self.shared.number and n not in self.blanks)
+        return sorted(
+            n for n in self.shared.places if n != self.shared.number and n not in self.blank_incarnations
+        )
 
-    def _found(self, now: int, epoch: Epoch, base: Base) -> None:
+    def _start_epoch(self, now: int, epoch: Epoch, base: Base) -> None:
         self._enter(now, epoch, base)
         self.shared.emit("founded", version=base.version, text=f"epoch {epoch[1]}")
 
@@ -282,51 +293,56 @@
             )
         known = shared.commit == base.index and shared.log.chain_at(base.index) == base.chain
         shared.epoch, shared.log = epoch, Log(base)
-        shared.keep("me", epoch, shared.birth)
-        shared.begin(base, told=not known)
+        shared.persist("me", epoch, shared.birth)
+        shared.install_base(base, announce=not known)
         self.voter.reset(now)
         self.spread.reset()
-        self.blanks.clear()
+        self.blank_incarnations.clear()
 
-    def _forget(self, now: int) -> None:
+    def _change_incarnation(self, now: int) -> None:
         """Another birth: nothing is promised under it. What is committed stays."""
         shared = self.shared
         if shared.log.last > shared.commit:
-            shared.cut(shared.commit + 1)
+            shared.truncate(shared.commit + 1)
         shared.birth = shared.rng.getrandbits(32) or 1
-        shared.keep("me", shared.epoch, shared.birth)
+        shared.persist("me", shared.epoch, shared.birth)
         self.voter.reset(now)
         shared.emit("forgotten")
 
-    def _take(self, now: int, message: Message, address: Address) -> None:
+    def _receive(self, now: int, message: Message, address: Address) -> None:
         shared = self.shared
-        if message.epoch == NOWHERE:
-            self._take_blank(now, message, address)
+        if message.epoch == NO_EPOCH:
+            self._receive_from_blank(now, message, address)
         elif shared.blank or message.epoch[0] == shared.epoch[0]:
             if message.epoch == shared.epoch and not shared.fenced:
                 HANDLERS[message.kind](self, now, message, address)
             elif message.epoch[1:] > shared.epoch[1:]:
-                self._follow(now, message, address)
+                self._on_later_epoch(now, message, address)
             elif message.kind is not Kind.ANSWER and not shared.fenced:
-                self.spread.tell(now, address, 0)  # it belongs to an earlier epoch, and is to know
+                self.spread.send_status(now, address, 0)  # it belongs to an earlier epoch, and is to know
         else:
-            self._meet_stranger(message)
+            self._on_foreign_history(message)
 
-    def _take_blank(self, now: int, message: Message, address: Address) -> None:
+    def _receive_from_blank(self, now: int, message: Message, address: Address) -> None:
         """From one that knows no history."""
         if message.kind is Kind.ASK:
             self.spread.on_ask(now, message, address)
         elif message.kind is Kind.ANSWER:
-            asked = self.spread.questions.pop(message.token, None)
-            if asked is not None and asked >= self.since and self.shared.blank and message.flags & BLANK:
-                self.blanks[message.sender[0]] = message.sender[1]
-
-    def _follow(self, now: int, message: Message, address: Address) -> None:
+            asked_at = self.spread.queries.pop(message.token, None)
+            if (
+                asked_at is not None
+                and asked_at >= self.blank_round_at
+                and self.shared.blank
+                and message.flags & BLANK
+            ):
+                self.blank_incarnations[message.sender[0]] = message.sender[1]
+
+    def _on_later_epoch(self, now: int, message: Message, address: Address) -> None:
         """A later epoch than this process's own, or the first that it hears of."""
-        shared, acted = self.shared, not self.shared.fenced
-        if not shared.blank and message.epoch[1:] > shared.heard[1:]:
-            shared.hear_of(message.epoch)
-            if acted:
+        shared, was_active = self.shared, not self.shared.fenced
+        if not shared.blank and message.epoch[1:] > shared.latest_epoch[1:]:
+            shared.note_epoch(message.epoch)
+            if was_active:
                 self.voter.reset(now)
                 self.spread.fresh_at = None
                 shared.emit("fenced", text=f"epoch {message.epoch[1]}")
@@ -335,26 +351,29 @@
             if base is not None:
                 self._enter(now, message.epoch, base)
             return
-        new = self.spread.target is None
-        self.spread.hear(now, message.epoch, message.commit, address)
-        if new:
+        idle = self.spread.fetch_target is None
+        self.spread.note_commit(now, message.epoch, message.commit, address)
+        if idle:
             self.spread.fetch(now)
 
-    def _meet_stranger(self, message: Message) -> None:
+    def _on_foreign_history(self, message: Message) -> None:
         self.shared.drop("history")
-        if message.epoch[0] not in self.strangers and len(self.strangers) < HISTORIES:
-            self.strangers.add(message.epoch[0])
+        if (
+            message.epoch[0] not in self.foreign_histories
+            and len(self.foreign_histories) < MAX_FOREIGN_HISTORIES
+        ):
+            self.foreign_histories.add(message.epoch[0])
             self.shared.emit("stranger", text=f"history {message.epoch[0]:08x}, number {message.sender[0]}")
 
     def _on_append(self, now: int, message: Message, address: Address) -> None:
-        if message.flags & LOST and self.shared.disk:
-            self._forget(now)
+        if message.flags & LOST_ENTRIES and self.shared.disk:
+            self._change_incarnation(now)
         self.voter.on_append(now, message, address)
-        self.spread.hear(now, message.epoch, message.commit, address)
+        self.spread.note_commit(now, message.epoch, message.commit, address)
 
-    def _on_bulk(self, now: int, message: Message, address: Address) -> None:
+    def _on_transfer(self, now: int, message: Message, address: Address) -> None:
         """Not before a leader has seen what a voter brings from its disk."""
-        if self.voter.unproved and self.voter.seated():
+        if self.voter.log_check_ticks and self.voter.seated():
             return
         if message.kind is Kind.PIECE:
             self.spread.on_piece(now, message, address)
@@ -363,7 +382,7 @@
 
     def _on_answer(self, now: int, message: Message, address: Address) -> None:
         voter = self.voter
-        voter.on_seen(message)
+        voter.on_status(message)
         if message.number != NO_NUMBER and voter.role is Role.LEARNER and message.term >= voter.term:
             voter.term = max(voter.term, message.term)
             leader = (message.number, message.birth)
@@ -396,7 +415,7 @@
             "lease_s": round(self.spread.lease_left(now) / 1e9, 3),
             "digest": f"{log.chain_at(shared.commit) or 0:016x}",
             "disk": shared.disk,
-            "waiting_for": self._silent() if shared.blank else [],
+            "waiting_for": self._unconfirmed_places() if shared.blank else [],
             "sent": {"datagrams": shared.budget.sent[0], "bytes": shared.budget.sent[1]},
             "dropped": dict(sorted(shared.dropped.items())),
         }
@@ -413,8 +432,8 @@
     Kind.ASK: lambda a, now, message, address: a.spread.on_ask(now, message, address),
     Kind.ANSWER: lambda a, now, message, address: a._on_answer(now, message, address),
     Kind.FETCH: lambda a, now, message, address: a.spread.on_fetch(now, message, address),
-    Kind.PIECE: lambda a, now, message, address: a._on_bulk(now, message, address),
-    Kind.BASE: lambda a, now, message, address: a._on_bulk(now, message, address),
+    Kind.PIECE: lambda a, now, message, address: a._on_transfer(now, message, address),
+    Kind.BASE: lambda a, now, message, address: a._on_transfer(now, message, address),
     Kind.PROPOSE: lambda a, now, message, address: a.proposals.on_propose(now, message, address),
     Kind.PROPOSED: lambda a, now, message, address: a.proposals.on_proposed(now, message),
     Kind.READ: lambda a, now, message, address: a.proposals.on_read(now, message, address),
--- a/dykeshift/agree/keep.py
+++ b/dykeshift/agree/keep.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from dykeshift.agree.log import Base, Entry, Log, pack_base, unpack_base
-from dykeshift.agree.state import NOWHERE, Record
+from dykeshift.agree.state import NO_EPOCH, Record
 from dykeshift.agree.wire import Epoch, Seat
 
 KIND = b"AG"  # of the log's payloads
@@ -32,73 +32,73 @@
     term: int
     vote: Seat | None
     log: Log
-    heard: Epoch = NOWHERE  # the latest epoch that it knew of
+    heard: Epoch = NO_EPOCH  # the latest epoch that it knew of
 
 
 def pack(record: Record) -> bytes:
-    kind, *rest = record
+    kind, *values = record
     if kind == "entry":
-        entry: Entry = rest[0]
-        rest = [entry.term, int(entry.sort), entry.ident, entry.body]
+        entry: Entry = values[0]
+        values = [entry.term, int(entry.sort), entry.ident, entry.body]
     elif kind == "base":
-        rest = [pack_base(rest[0])]
-    return msgspec.msgpack.encode((kind, *rest))
+        values = [pack_base(values[0])]
+    return msgspec.msgpack.encode((kind, *values))
 
 
 def replay(payloads: list[bytes]) -> Kept | None:
     """None: nothing was ever kept. Spoilt: these can't have been written in this order."""
-    kept: Kept | None = None
+    state: Kept | None = None
     for payload in payloads:
         try:
             kind, *rest = msgspec.msgpack.decode(payload)
-            kept = _take(kept, kind, rest)
+            state = _apply(state, kind, rest)
         except (msgspec.DecodeError, ValueError, TypeError, IndexError) as exc:
             raise Spoilt(f"a record is no record: {exc}") from None
-    return kept
+    return state
 
 
-def _take(kept: Kept | None, kind: str, rest: list[Any]) -> Kept:
+def _apply(state: Kept | None, kind: str, values: list[Any]) -> Kept:
     if kind == "me":
-        epoch = _epoch(rest[0])
-        if kept is None:
-            return Kept(epoch, int(rest[1]), 0, None, Log(Base()))
-        if (epoch, rest[1]) != (kept.epoch, kept.birth):
-            log = kept.log if kept.epoch == epoch else Log(Base())
-            return Kept(epoch, int(rest[1]), 0, None, log, kept.heard)
-        return kept
-    if kept is None:
+        epoch = _parse_epoch(values[0])
+        if state is None:
+            return Kept(epoch, int(values[1]), 0, None, Log(Base()))
+        if (epoch, values[1]) != (state.epoch, state.birth):
+            log = state.log if state.epoch == epoch else Log(Base())
+            return Kept(epoch, int(values[1]), 0, None, log, state.heard)
+        return state
+    if state is None:
         raise ValueError("it begins in the middle")
     if kind == "heard":
-        kept.heard = _epoch(rest[0])
+        state.heard = _parse_epoch(values[0])
     elif kind == "vote":
-        kept.term, kept.vote = int(rest[0]), (rest[1][0], rest[1][1]) if rest[1] else None
+        state.term, state.vote = int(values[0]), (values[1][0], values[1][1]) if values[1] else None
     elif kind == "entry":
-        kept.log.append(Entry(*rest))
+        state.log.append(Entry(*values))
     elif kind == "cut":
-        kept.log.cut(rest[0])
+        state.log.truncate(values[0])
     elif kind == "base":
-        kept.log.begin_at(unpack_base(rest[0]))
+        state.log.reset_to_base(unpack_base(values[0]))
     else:
         raise ValueError(f"{kind!r} is none")
-    return kept
+    return state
 
 
-def _epoch(told: Any) -> Epoch:
-    history, number, founder = told
+def _parse_epoch(value: Any) -> Epoch:
+    history, number, founder = value
     return int(history), int(number), int(founder)
 
 
-def whole(kept: Kept) -> list[bytes]:
+def whole(state: Kept) -> list[bytes]:
     """The records that this life comes down to, for a file that is written anew."""
     records: list[Record] = [
-        ("me", kept.epoch, kept.birth),
-        ("heard", kept.heard),
-        ("base", kept.log.base),
-        ("vote", kept.term, kept.vote),
+        ("me", state.epoch, state.birth),
+        ("heard", state.heard),
+        ("base", state.log.base),
+        ("vote", state.term, state.vote),
     ]
-    return [pack(record) for record in records + [("entry", entry) for entry in kept.log.entries]]
+    return [pack(record) for record in records + [("entry", entry) for entry in state.log.entries]]
 
 
-def known(kept: Kept) -> bool:
+def known(state: Kept) -> bool:
     """Whether it belonged to a history."""
-    return kept.epoch != NOWHERE
+    return state.epoch != NO_EPOCH
--- a/dykeshift/agree/log.py
+++ b/dykeshift/agree/log.py
@@ -15,7 +15,9 @@
 from dykeshift.agree.seats import Seats
 from dykeshift.agree.wire import Seat
 
-REMEMBERED = 256  # proposals before the base of which it is still known at which version they were committed
+MAX_RECENT_PROPOSALS = (
+    256  # proposals before the base of which it is still known at which version they were committed
+)
 
 
 class Sort(IntEnum):
@@ -50,8 +52,8 @@
         return Seats(self.now, self.before)
 
 
-_base = msgspec.msgpack.Decoder(Base)
-_seats = msgspec.msgpack.Decoder(tuple[tuple[Seat, ...], tuple[Seat, ...]])
+_base_decoder = msgspec.msgpack.Decoder(Base)
+_seats_decoder = msgspec.msgpack.Decoder(tuple[tuple[Seat, ...], tuple[Seat, ...]])
 
 
 def pack_base(base: Base) -> bytes:
@@ -61,19 +63,19 @@
 def unpack_base(data: bytes) -> Base:
     """ValueError where the bytes are none."""
     try:
-        return _base.decode(data)
+        return _base_decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
         raise ValueError(str(exc)) from None
 
 
 def pack_seats(seats: Seats) -> bytes:
-    return msgspec.msgpack.encode((seats.now, seats.before))
+    return msgspec.msgpack.encode((seats.now, seats.previous))
 
 
 def unpack_seats(data: bytes) -> Seats:
     """ValueError where the bytes are none."""
     try:
-        return Seats(*_seats.decode(data))
+        return Seats(*_seats_decoder.decode(data))
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
         raise ValueError(str(exc)) from None
 
@@ -82,7 +84,7 @@
     return int.from_bytes(hashlib.blake2s(data, digest_size=8).digest(), "big")
 
 
-def link(chain: int, entry: Entry) -> int:
+def chain_digest(chain: int, entry: Entry) -> int:
     head = chain.to_bytes(8, "big") + entry.term.to_bytes(4, "big") + bytes((entry.sort,))
     return digest(head + entry.ident.to_bytes(8, "big") + entry.body)
 
@@ -93,9 +95,9 @@
         self.entries: list[Entry] = []
         self.chains: list[int] = []
         self.versions: list[int] = []
-        self.changes: list[tuple[int, Seats]] = []  # index, seats from there on
-        self.at_ident: dict[int, int] = {}  # index of a proposal
-        self.before = dict(base.recent)  # proposals that the base holds, and their versions
+        self.seat_changes: list[tuple[int, Seats]] = []  # index, seats from there on
+        self.index_by_ident: dict[int, int] = {}  # index of a proposal
+        self.base_proposals = dict(base.recent)  # proposals that the base holds, and their versions
 
     @property
     def last(self) -> int:
@@ -113,11 +115,11 @@
     @property
     def seats(self) -> Seats:
         """The latest, committed or not."""
-        return self.changes[-1][1] if self.changes else self.base.seats
+        return self.seat_changes[-1][1] if self.seat_changes else self.base.seats
 
     @property
     def seats_index(self) -> int:
-        return self.changes[-1][0] if self.changes else self.base.index
+        return self.seat_changes[-1][0] if self.seat_changes else self.base.index
 
     def holds(self, index: int) -> bool:
         """Whether the entry itself is here."""
@@ -144,36 +146,36 @@
         """ValueError where it is no entry; nothing has changed then."""
         seats = unpack_seats(entry.body) if entry.sort == Sort.SEATS else None
         index = self.last + 1
-        self.chains.append(link(self.chains[-1] if self.chains else self.base.chain, entry))
+        self.chains.append(chain_digest(self.chains[-1] if self.chains else self.base.chain, entry))
         self.versions.append(self.version + (entry.sort == Sort.CHANGE))
         self.entries.append(entry)
         if seats is not None:
-            self.changes.append((index, seats))
+            self.seat_changes.append((index, seats))
         if entry.ident:
-            self.at_ident[entry.ident] = index
+            self.index_by_ident[entry.ident] = index
         return index
 
-    def cut(self, index: int) -> None:
+    def truncate(self, index: int) -> None:
         """Forget the entry at this index and all behind it."""
         for entry in self.entries[index - self.base.index - 1 :]:
-            self.at_ident.pop(entry.ident, None)
+            self.index_by_ident.pop(entry.ident, None)
         keep = index - self.base.index - 1
         del self.entries[keep:], self.chains[keep:], self.versions[keep:]
-        while self.changes and self.changes[-1][0] >= index:
-            self.changes.pop()
+        while self.seat_changes and self.seat_changes[-1][0] >= index:
+            self.seat_changes.pop()
 
     def base_at(self, index: int, state: bytes) -> Base:
         """What a log from this committed index on begins with."""
         term, chain = self.term_at(index), self.chain_at(index)
         assert term is not None and chain is not None, "the index is not in the log"
         seats = self.base.seats
-        for at, changed in self.changes:
-            seats = changed if at <= index else seats
-        recent = dict(self.before)
-        for at in range(self.base.index + 1, index + 1):
-            entry = self.entry(at)
+        for position, changed in self.seat_changes:
+            seats = changed if position <= index else seats
+        recent = dict(self.base_proposals)
+        for position in range(self.base.index + 1, index + 1):
+            entry = self.entry(position)
             if entry.ident:
-                recent[entry.ident] = self.version_at(at)
+                recent[entry.ident] = self.version_at(position)
         return Base(
             index,
             term,
@@ -181,12 +183,12 @@
             self.version_at(index),
             self.base.wanted,
             seats.now,
-            seats.before,
+            seats.previous,
             state,
-            tuple(recent.items())[-REMEMBERED:],
+            tuple(recent.items())[-MAX_RECENT_PROPOSALS:],
         )
 
-    def begin_at(self, base: Base) -> None:
+    def reset_to_base(self, base: Base) -> None:
         """Begin with a committed base; entries behind it stay where they follow from it."""
         fits = self.chain_at(base.index) == base.chain
         rest = self.entries[base.index - self.base.index :] if fits else []
@@ -194,9 +196,9 @@
         for entry in rest:
             self.append(entry)
 
-    def committed_as(self, ident: int, commit: int) -> int | None:
+    def committed_version(self, ident: int, commit: int) -> int | None:
         """The version of a proposal, if it is committed; None: not, or so long ago that it is forgotten."""
-        index = self.at_ident.get(ident)
+        index = self.index_by_ident.get(ident)
         if index is not None:
             return self.version_at(index) if index <= commit else None
-        return self.before.get(ident)
+        return self.base_proposals.get(ident)
--- a/dykeshift/agree/proposals.py
+++ b/dykeshift/agree/proposals.py
@@ -12,16 +12,16 @@
 
 from dykeshift.agree.log import Entry, Sort, digest
 from dykeshift.agree.pieces import Assembly
-from dykeshift.agree.state import ACTION, URGENT, Shared
+from dykeshift.agree.state import REQUEST, URGENT, Shared
 from dykeshift.agree.voting import Voter
 from dykeshift.agree.wire import CHUNK, YES, Kind, Message
 from dykeshift.view.table import Address
 
-MOST = 64  # proposals and reads in the making, of each sort
+MAX_PENDING = 64  # proposals and reads in the making, of each sort
 LONGEST = 16_384  # bytes of an entry
-WINDOW = 8  # pieces of a proposal on the way
-AGAIN = 2  # beats until what was not answered is sent again
-GOT, SHORT = 1, 2  # of a proposal: received so far; taken when there are enough voters
+MAX_IN_FLIGHT = 8  # pieces of a proposal on the way
+RETRY_HEARTBEATS = 2  # beats until what was not answered is sent again
+RECEIVED, TOO_FEW_VOTERS = 1, 2  # of a proposal: received so far; taken when there are enough voters
 
 COMMITTED, REFUSED, UNKNOWN = "committed", "refused", "unknown"
 
@@ -39,22 +39,22 @@
 class Proposal:
     body: bytes
     expect: int
-    until: int
-    next: int = 0  # when it is sent again
+    deadline: int
+    retry_at: int = 0  # when it is sent again
     sent: bool = False
-    got: int = 0  # bytes that the leader has
-    note: str = ""
+    acked_bytes: int = 0  # bytes that the leader has
+    reason: str = ""
 
 
 @dataclass(slots=True)
-class Reading:
-    until: int
-    next: int = 0  # when it is asked again
+class PendingRead:
+    deadline: int
+    retry_at: int = 0  # when it is asked again
     index: int | None = None  # what has to be committed here
 
 
 @dataclass(slots=True)
-class Waiting:
+class UnconfirmedRead:
     """A read that the leader answers once a round begun later is confirmed."""
 
     round: int
@@ -64,9 +64,9 @@
 
 
 @dataclass(slots=True)
-class Draft:
+class PartialProposal:
     address: Address
-    at: int
+    updated_at: int
     assembly: Assembly = field(default_factory=Assembly)
 
 
@@ -75,10 +75,10 @@
         self.shared, self.voter = shared, voter
         self.open: dict[int, Proposal] = {}
         self.answers: dict[int, Answer] = {}
-        self.reads: dict[int, Reading] = {}
-        self.results: dict[int, int | None] = {}  # of reads: the version; None: it can't be said
-        self.waiting: list[Waiting] = []
-        self.drafts: dict[int, Draft] = {}
+        self.pending_reads: dict[int, PendingRead] = {}
+        self.read_results: dict[int, int | None] = {}  # of reads: the version; None: it can't be said
+        self.unconfirmed_reads: list[UnconfirmedRead] = []
+        self.partial: dict[int, PartialProposal] = {}
         self.proposers: dict[int, Address] = {}  # whom to tell of a commit
 
     # ---- who is asked ----
@@ -87,97 +87,97 @@
         """`wait`: nanoseconds until the answer is "not known". The answer comes up in `answers`, once."""
         if len(body) > LONGEST:
             self.answers[ident] = Answer(REFUSED, self.version(), f"it has more than {LONGEST} bytes")
-        elif len(self.open) >= MOST:
+        elif len(self.open) >= MAX_PENDING:
             self.answers[ident] = Answer(REFUSED, self.version(), "too many proposals are under way here")
         else:
             self.open[ident] = Proposal(body, expect, now + wait)
-            self.look(now)
-            self._forward(now, ident)
+            self.resolve(now)
+            self._forward_proposal(now, ident)
 
     def read(self, now: int, wait: int, token: int) -> None:
         """The result comes up in `results`, once."""
-        if len(self.reads) >= MOST:
-            self.results[token] = None
+        if len(self.pending_reads) >= MAX_PENDING:
+            self.read_results[token] = None
             return
-        self.reads[token] = Reading(now + wait)
-        self._ask(now, token)
+        self.pending_reads[token] = PendingRead(now + wait)
+        self._forward_read(now, token)
 
     def version(self) -> int:
         return self.shared.log.version_at(self.shared.commit)
 
-    def decided(self, ident: int, expect: int) -> Answer:
+    def outcome(self, ident: int, expect: int) -> Answer:
         """What became of a proposal, as far as this process knows."""
         shared = self.shared
-        version = shared.log.committed_as(ident, shared.commit)
-        now = self.version()
+        version = shared.log.committed_version(ident, shared.commit)
+        committed = self.version()
         if version is not None:
             return Answer(COMMITTED, version)
-        if now > expect:
-            if self._remembers(expect + 1):
-                return Answer(REFUSED, now, f"version {expect + 1} is another change")
-            return Answer(UNKNOWN, now, f"version {expect + 1} is too long ago to say whose it was")
-        return Answer(UNKNOWN, now, "it is not decided yet")
+        if committed > expect:
+            if self._knows_change_at(expect + 1):
+                return Answer(REFUSED, committed, f"version {expect + 1} is another change")
+            return Answer(UNKNOWN, committed, f"version {expect + 1} is too long ago to say whose it was")
+        return Answer(UNKNOWN, committed, "it is not decided yet")
 
-    def _remembers(self, version: int) -> bool:
+    def _knows_change_at(self, version: int) -> bool:
         """Whether it is known here whose change that committed version was."""
         log = self.shared.log
-        return version > log.base.version or version in log.before.values()
+        return version > log.base.version or version in log.base_proposals.values()
 
-    def look(self, now: int) -> None:
+    def resolve(self, now: int) -> None:
         """Answer what is decided, or has waited for long enough."""
         for ident, proposal in list(self.open.items()):
-            answer = self.decided(ident, proposal.expect)
-            late = now >= proposal.until
-            if answer.status == UNKNOWN and late and not proposal.sent:
-                ahead = f"version {proposal.expect} is not reached here"
-                text = ahead if answer.version < proposal.expect else "no leader is in reach"
+            answer = self.outcome(ident, proposal.expect)
+            expired = now >= proposal.deadline
+            if answer.status == UNKNOWN and expired and not proposal.sent:
+                not_reached = f"version {proposal.expect} is not reached here"
+                text = not_reached if answer.version < proposal.expect else "no leader is in reach"
                 answer = Answer(REFUSED, answer.version, text)
-            elif answer.status == UNKNOWN and late:
-                answer = Answer(UNKNOWN, answer.version, proposal.note or answer.text)
+            elif answer.status == UNKNOWN and expired:
+                answer = Answer(UNKNOWN, answer.version, proposal.reason or answer.text)
             elif answer.status == UNKNOWN and answer.version <= proposal.expect:
                 continue
             del self.open[ident]
             self.answers[ident] = answer
-        for token, reading in list(self.reads.items()):
-            if reading.index is not None and reading.index <= self.shared.commit:
-                self.results[token] = self.version()
-            elif now >= reading.until:
-                self.results[token] = None
+        for token, read in list(self.pending_reads.items()):
+            if read.index is not None and read.index <= self.shared.commit:
+                self.read_results[token] = self.version()
+            elif now >= read.deadline:
+                self.read_results[token] = None
             else:
                 continue
-            del self.reads[token]
+            del self.pending_reads[token]
 
     def on_tick(self, now: int) -> None:
-        self.look(now)
+        self.resolve(now)
         for ident in list(self.open):
-            self._forward(now, ident)
-        for token in list(self.reads):
-            self._ask(now, token)
+            self._forward_proposal(now, ident)
+        for token in list(self.pending_reads):
+            self._forward_read(now, token)
         beat = self.shared.options.beat
-        for ident in [i for i, d in self.drafts.items() if now - d.at > 50 * beat]:
-            del self.drafts[ident]
+        for ident in [i for i, d in self.partial.items() if now - d.updated_at > 50 * beat]:
+            del self.partial[ident]
         if self.voter.lead is None:
-            self.waiting.clear()
+            self.unconfirmed_reads.clear()
             self.proposers.clear()
-        self.confirm(now)
+        self.answer_confirmed_reads(now)
 
-    def _forward(self, now: int, ident: int) -> None:
+    def _forward_proposal(self, now: int, ident: int) -> None:
         proposal = self.open.get(ident)
         leader = self.voter.leader
-        if proposal is None or leader is None or self.version() < proposal.expect or now < proposal.next:
+        if proposal is None or leader is None or self.version() < proposal.expect or now < proposal.retry_at:
             return  # where it builds on what is not known here, nobody has to see it yet
-        proposal.next = now + AGAIN * self.shared.options.beat
+        proposal.retry_at = now + RETRY_HEARTBEATS * self.shared.options.beat
         if leader == self.shared.me:
             proposal.sent = True
-            self._take(now, ident, proposal.expect, proposal.body, None)
-            self.look(now)
+            self._append(now, ident, proposal.expect, proposal.body, None)
+            self.resolve(now)
             return
-        offset, total, sum_ = proposal.got, len(proposal.body), digest(proposal.body)
-        for _ in range(WINDOW):
+        offset, total, checksum = proposal.acked_bytes, len(proposal.body), digest(proposal.body)
+        for _ in range(MAX_IN_FLIGHT):
             chunk = proposal.body[offset : offset + CHUNK]
             sent = self.shared.send(
                 now,
-                ACTION,
+                REQUEST,
                 leader[0],
                 Kind.PROPOSE,
                 self.voter.term,
@@ -185,7 +185,7 @@
                 of=proposal.expect,
                 length=total,
                 offset=offset,
-                chain=sum_,
+                chain=checksum,
                 chunk=chunk,
             )
             proposal.sent = proposal.sent or sent
@@ -197,69 +197,71 @@
         proposal = self.open.get(message.ident)
         if proposal is None:
             return
-        if message.sort == SHORT:
-            proposal.note = "there are too few voters to take it now"
-        elif message.offset > proposal.got and message.offset < len(proposal.body):
-            proposal.got, proposal.next = message.offset, now
-            self._forward(now, message.ident)
-
-    def _ask(self, now: int, token: int) -> None:
-        reading, leader = self.reads[token], self.voter.leader
-        if reading.index is not None or leader is None or now < reading.next:
+        if message.sort == TOO_FEW_VOTERS:
+            proposal.reason = "there are too few voters to take it now"
+        elif message.offset > proposal.acked_bytes and message.offset < len(proposal.body):
+            proposal.acked_bytes, proposal.retry_at = message.offset, now
+            self._forward_proposal(now, message.ident)
+
+    def _forward_read(self, now: int, token: int) -> None:
+        read, leader = self.pending_reads[token], self.voter.leader
+        if read.index is not None or leader is None or now < read.retry_at:
             return
-        reading.next = now + AGAIN * self.shared.options.beat
+        read.retry_at = now + RETRY_HEARTBEATS * self.shared.options.beat
         if leader == self.shared.me:
-            self._wait(now, token, None)
+            self._register_read(now, token, None)
         else:
-            self.shared.send(now, ACTION, leader[0], Kind.READ, self.voter.term, token=token)
+            self.shared.send(now, REQUEST, leader[0], Kind.READ, self.voter.term, token=token)
 
     def on_ready(self, now: int, message: Message) -> None:
-        reading = self.reads.get(message.token)
-        if reading is not None and reading.index is None:
-            reading.index = message.index
-            self.look(now)
+        read = self.pending_reads.get(message.token)
+        if read is not None and read.index is None:
+            read.index = message.index
+            self.resolve(now)
 
     # ---- the leader ----
 
     def on_propose(self, now: int, message: Message, address: Address) -> None:
         if self.voter.lead is None or message.length > LONGEST:
             return
-        if self._known(message.ident):
+        if self._already_logged(message.ident):
             self.proposers[message.ident] = address
             return
-        draft = self.drafts.get(message.ident)
-        if draft is None:
-            if len(self.drafts) >= MOST:
+        partial = self.partial.get(message.ident)
+        if partial is None:
+            if len(self.partial) >= MAX_PENDING:
                 return
-            draft = self.drafts[message.ident] = Draft(address, now)
-        draft.at = now
-        body = draft.assembly.add((message.of, message.chain), message.length, message.offset, message.chunk)
-        sort, offset = GOT, len(draft.assembly.got)
+            partial = self.partial[message.ident] = PartialProposal(address, now)
+        partial.updated_at = now
+        body = partial.assembly.add(
+            (message.of, message.chain), message.length, message.offset, message.chunk
+        )
+        status, offset = RECEIVED, len(partial.assembly.received)
         if body is not None:
-            del self.drafts[message.ident]
+            del self.partial[message.ident]
             offset = len(body)
-            if digest(body) == message.chain and not self._take(
+            if digest(body) == message.chain and not self._append(
                 now, message.ident, message.of, body, address
             ):
-                sort = SHORT
+                status = TOO_FEW_VOTERS
         self.shared.send(
             now,
-            ACTION,
+            REQUEST,
             address,
             Kind.PROPOSED,
             self.voter.term,
             ident=message.ident,
             offset=offset,
-            sort=sort,
+            sort=status,
         )
 
-    def _known(self, ident: int) -> bool:
-        return ident in self.shared.log.at_ident or ident in self.shared.log.before
+    def _already_logged(self, ident: int) -> bool:
+        return ident in self.shared.log.index_by_ident or ident in self.shared.log.base_proposals
 
-    def _take(self, now: int, ident: int, expect: int, body: bytes, address: Address | None) -> bool:
+    def _append(self, now: int, ident: int, expect: int, body: bytes, address: Address | None) -> bool:
         """Into the log, where it can be the next version; False: there are too few voters for that."""
         voter, log = self.voter, self.shared.log
-        if self._known(ident) or not voter.settled() or log.version != expect:
+        if self._already_logged(ident) or not voter.settled() or log.version != expect:
             return True
         if len(voter.seats.now) < log.base.wanted:
             return False
@@ -269,41 +271,47 @@
         return True
 
     def on_read(self, now: int, message: Message, address: Address) -> None:
-        self._wait(now, message.token, address)
+        self._register_read(now, message.token, address)
 
-    def _wait(self, now: int, token: int, address: Address | None) -> None:
+    def _register_read(self, now: int, token: int, address: Address | None) -> None:
         voter = self.voter
-        if not voter.settled() or len(self.waiting) >= MOST or any(w.token == token for w in self.waiting):
+        if (
+            not voter.settled()
+            or len(self.unconfirmed_reads) >= MAX_PENDING
+            or any(w.token == token for w in self.unconfirmed_reads)
+        ):
             return
-        self.waiting.append(Waiting(voter.soon(now), self.shared.commit, token, address))
-        self.confirm(now)
+        self.unconfirmed_reads.append(
+            UnconfirmedRead(voter.request_round(now), self.shared.commit, token, address)
+        )
+        self.answer_confirmed_reads(now)
 
-    def confirm(self, now: int) -> None:
+    def answer_confirmed_reads(self, now: int) -> None:
         """Answer the reads whose round a majority has answered."""
         lead = self.voter.lead
         if lead is None:
             return
-        done = [w for w in self.waiting if w.round <= lead.confirmed]
-        self.waiting = [w for w in self.waiting if w.round > lead.confirmed]
-        for one in done:
-            if one.address is not None:
+        confirmed = [w for w in self.unconfirmed_reads if w.round <= lead.confirmed]
+        self.unconfirmed_reads = [w for w in self.unconfirmed_reads if w.round > lead.confirmed]
+        for read in confirmed:
+            if read.address is not None:
                 self.shared.send(
                     now,
                     URGENT,
-                    one.address,
+                    read.address,
                     Kind.READY,
                     self.voter.term,
-                    token=one.token,
-                    index=one.index,
+                    token=read.token,
+                    index=read.index,
                     flags=YES,
                 )
-            elif one.token in self.reads:
-                self.reads[one.token].index = one.index
-        if done:
-            self.look(now)
+            elif read.token in self.pending_reads:
+                self.pending_reads[read.token].index = read.index
+        if confirmed:
+            self.resolve(now)
 
-    def tell(self, now: int) -> list[Address]:
+    def proposers_to_notify(self, now: int) -> list[Address]:
         """Who is to hear at once of what was committed."""
         commit, log = self.shared.commit, self.shared.log
-        told = [i for i in self.proposers if log.committed_as(i, commit) is not None]
-        return [self.proposers.pop(ident) for ident in told]
+        decided = [i for i in self.proposers if log.committed_version(i, commit) is not None]
+        return [self.proposers.pop(ident) for ident in decided]
--- a/dykeshift/agree/seats.py
+++ b/dykeshift/agree/seats.py
@@ -20,31 +20,31 @@
 @dataclass(frozen=True, slots=True)
 class Seats:
     now: tuple[Seat, ...] = ()
-    before: tuple[Seat, ...] = ()  # in a joint stage: a majority of these has to agree as well
+    previous: tuple[Seat, ...] = ()  # in a joint stage: a majority of these has to agree as well
 
     @property
     def joint(self) -> bool:
-        return bool(self.before)
+        return bool(self.previous)
 
     @property
     def all(self) -> frozenset[Seat]:
-        return frozenset(self.now) | frozenset(self.before)
+        return frozenset(self.now) | frozenset(self.previous)
 
     def quorum(self, yes: Callable[[Seat], bool]) -> bool:
-        return majority(self.now, yes) and (not self.before or majority(self.before, yes))
+        return majority(self.now, yes) and (not self.previous or majority(self.previous, yes))
 
-    def agreed(self, has: Callable[[Seat], int]) -> int:
+    def quorum_index(self, has: Callable[[Seat], int]) -> int:
         """Up to where a majority has it; of both sides in a joint stage."""
         return min(
-            sorted(map(has, side))[(len(side) - 1) // 2] for side in (self.now, self.before or self.now)
+            sorted(map(has, side))[(len(side) - 1) // 2] for side in (self.now, self.previous or self.now)
         )
 
-    def change(self, out: Seat | None, new: Seat | None) -> Seats:
+    def joint_change(self, removed: Seat | None, added: Seat | None) -> Seats:
         """The joint stage towards one seat less, one more, or one for another."""
-        now = [s for s in self.now if s != out] + ([new] if new is not None else [])
+        now = [s for s in self.now if s != removed] + ([added] if added is not None else [])
         return Seats(tuple(sorted(now)), self.now)
 
-    def over(self) -> Seats:
+    def after_joint(self) -> Seats:
         return Seats(self.now)
 
 
@@ -56,10 +56,10 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class MemberStatus:
     """What a process answered the leader, to a question of its own."""
 
-    birth: int
+    incarnation: int
     index: int  # how far its committed prefix went
     at: int  # when it was asked
     flags: int
@@ -69,10 +69,10 @@
     seats: Seats,
     wanted: int,
     me: Seat,
-    seen: dict[int, Seen],
-    able: Callable[[int, Seen], bool],
+    seen: dict[int, MemberStatus],
+    eligible: Callable[[int, MemberStatus], bool],
     lost: Callable[[Seat], bool],
-    leaves: Callable[[Seat], bool],
+    leaving: Callable[[Seat], bool],
     order: Iterable[int],
 ) -> tuple[Seat | None, Seat | None] | None:
     """The next seat to swap, add or remove; None: all is well, or nobody is there to take it.
@@ -83,17 +83,18 @@
     taken = {number for number, _ in seats.now}
     for number, birth in seats.now:
         other = seen.get(number)
-        if other is not None and other.birth != birth and able(number, other):
-            return (number, birth), (number, other.birth)  # it came back from nothing
-    free = next(
-        ((n, seen[n].birth) for n in order if n not in taken and n in seen and able(n, seen[n])), None
+        if other is not None and other.incarnation != birth and eligible(number, other):
+            return (number, birth), (number, other.incarnation)  # it came back from nothing
+    newcomer = next(
+        ((n, seen[n].incarnation) for n in order if n not in taken and n in seen and eligible(n, seen[n])),
+        None,
     )
     if len(seats.now) > wanted:
         extra = [s for s in seats.now if lost(s)] or [s for s in seats.now if s != me]
         return extra[0], None
-    if free is None:
+    if newcomer is None:
         return None
     if len(seats.now) < wanted:
-        return None, free
-    gone = next((s for s in seats.now if lost(s) or leaves(s)), None)
-    return (gone, free) if gone is not None else None
+        return None, newcomer
+    vacated = next((s for s in seats.now if lost(s) or leaving(s)), None)
+    return (vacated, newcomer) if vacated is not None else None
--- a/dykeshift/agree/shell.py
+++ b/dykeshift/agree/shell.py
@@ -12,7 +12,7 @@
 from dykeshift.view.table import Address
 
 Kept = Callable[[bool], None]  # whether what was handed over lasts
-Keep = Callable[[list[Record], Kept], None]
+Persist = Callable[[list[Record], Kept], None]
 
 
 class Runner:
@@ -25,17 +25,17 @@
         core: Agree,
         send: Callable[[Out], None],
         tell: Callable[[Event], None],
-        keep: Keep | None = None,
+        keep: Persist | None = None,
     ) -> None:
         """`keep`: makes records last, in order, and says when. None: there is no disk."""
         self.loop, self.clock, self.core = loop, clock, core
-        self.send, self.tell, self.keep = send, tell, keep
-        self.behind: list[tuple[int, Out, list[Record]]] = []  # what waits for the disk, in order
+        self.send, self.on_event, self.keep = send, tell, keep
+        self.awaiting_disk: list[tuple[int, Out, list[Record]]] = []  # what waits for the disk, in order
         self.timer: asyncio.TimerHandle | None = None
-        self.due = 0
+        self.timer_due = 0
         self.closed = False
-        self.answers: dict[int, list[Callable[[Answer], None]]] = {}
-        self.results: dict[int, Callable[[int | None], None]] = {}
+        self.answer_callbacks: dict[int, list[Callable[[Answer], None]]] = {}
+        self.read_callbacks: dict[int, Callable[[int | None], None]] = {}
 
     def now(self) -> int:
         return self.clock.monotonic_ns()
@@ -52,16 +52,16 @@
     ) -> int:
         """`done` is called once, within `wait` nanoseconds of this process's clock."""
         number, out = self.core.propose(self.now(), body, expect, wait, ident)
-        self.answers.setdefault(number, []).append(done)
+        self.answer_callbacks.setdefault(number, []).append(done)
         self.carry(out)
         return number
 
     def read(self, wait: int, done: Callable[[int | None], None]) -> None:
         token, out = self.core.read(self.now(), wait)
-        self.results[token] = done
+        self.read_callbacks[token] = done
         self.carry(out)
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
         if not self.closed:
             self.carry(self.core.on_timer(max(self.now(), self.core.next_at)))
@@ -69,49 +69,52 @@
     def carry(self, out: Out) -> None:
         """After each call of the core."""
         records = self.core.take_records()
-        if self.keep is None or not records and not self.behind:
+        if self.keep is None or not records and not self.awaiting_disk:
             self.send(out)
         elif out or records:
-            self.behind.append((self.core.shared.written, out, records))
-            if len(self.behind) == 1:
-                self._write()
+            self.awaiting_disk.append((self.core.shared.written, out, records))
+            if len(self.awaiting_disk) == 1:
+                self._flush()
         for event in self.core.take_events():
-            self.tell(event)
+            self.on_event(event)
         for ident, answer in self.core.take_answers().items():
-            for done in self.answers.pop(ident, []):
-                done(answer)
+            for callback in self.answer_callbacks.pop(ident, []):
+                callback(answer)
         for token, version in self.core.take_results().items():
-            reader = self.results.pop(token, None)
-            if reader is not None:
-                reader(version)
-        if not self.closed and (self.timer is None or self.due != self.core.next_at):
-            self.due = self.core.next_at
+            read_callback = self.read_callbacks.pop(token, None)
+            if read_callback is not None:
+                read_callback(version)
+        if not self.closed and (self.timer is None or self.timer_due != self.core.next_at):
+            self.timer_due = self.core.next_at
             if self.timer is not None:
                 self.timer.cancel()
-            self.timer = self.loop.call_later(max(0.0, (self.due - self.now()) / 1e9), self._due)
+            self.timer = self.loop.call_later(max(0.0, (self.timer_due - self.now()) / 1e9), self._on_timer)
 
-    def _write(self) -> None:
+    def _flush(self) -> None:
         """All that waits, as one piece of work for the disk."""
         assert self.keep is not None
-        count = len(self.behind)
-        self.keep([r for _, _, records in self.behind for r in records], lambda well: self._kept(count, well))
-
-    def _kept(self, count: int, well: bool) -> None:
-        while count < len(self.behind) and not self.behind[count][2]:
+        count = len(self.awaiting_disk)
+        self.keep(
+            [r for _, _, records in self.awaiting_disk for r in records],
+            lambda well: self._on_flushed(count, well),
+        )
+
+    def _on_flushed(self, count: int, ok: bool) -> None:
+        while count < len(self.awaiting_disk) and not self.awaiting_disk[count][2]:
             count += 1  # they waited for what is kept now, and have nothing to keep
-        done, self.behind = self.behind[:count], self.behind[count:]
+        flushed, self.awaiting_disk = self.awaiting_disk[:count], self.awaiting_disk[count:]
         if self.closed:
             return
-        if not well:
+        if not ok:
             self.keep = None
-            self.behind.clear()  # what was to be said is not true without the disk
-            self.carry(self.core.on_unkept(self.now()))
+            self.awaiting_disk.clear()  # what was to be said is not true without the disk
+            self.carry(self.core.on_disk_failed(self.now()))
             return
-        for _, out, _ in done:
+        for _, out, _ in flushed:
             self.send(out)
-        if self.behind:
-            self._write()
-        self.carry(self.core.on_kept(self.now(), done[-1][0]))
+        if self.awaiting_disk:
+            self._flush()
+        self.carry(self.core.on_kept(self.now(), flushed[-1][0]))
 
     def close(self) -> None:
         self.closed = True
--- a/dykeshift/agree/spread.py
+++ b/dykeshift/agree/spread.py
@@ -15,49 +15,49 @@
 
 from dykeshift.agree.log import Base, Entry, Sort, digest, pack_base, unpack_base
 from dykeshift.agree.pieces import Assembly
-from dykeshift.agree.state import BULK, CARE, Shared
+from dykeshift.agree.state import BULK, MAINTENANCE, Shared
 from dykeshift.agree.voting import Voter
-from dykeshift.agree.wire import BLANK, CHUNK, LAST, NO_AGE, NO_NUMBER, RETIRING, Epoch, Kind, Message
+from dykeshift.agree.wire import BLANK, CHUNK, END_OF_BURST, NO_AGE, NO_NUMBER, RETIRING, Epoch, Kind, Message
 from dykeshift.view.table import Address
 
 BURST = 6  # pieces that answer one request
 FANOUT = 3  # members that a new change is passed on to
-ASKS = 3  # beats between two questions
-OTHER = 2  # of these, after which somebody else that has more is asked
-TRIES = 5  # requests to one that does not answer them
+QUERY_TICKS = 3  # beats between two questions
+SWITCH_AFTER = 2  # of these, after which somebody else that has more is asked
+MAX_FETCH_TRIES = 5  # requests to one that does not answer them
 
 
-class Spread:
+class Dissemination:
     def __init__(self, shared: Shared, voter: Voter) -> None:
         self.shared, self.voter = shared, voter
         self.fresh_at: int | None = None
-        self.awaited: list[tuple[int, int]] = []  # fresh then, once so much is committed here
-        self.questions: dict[int, int] = {}  # token: when it was asked
-        self.entry, self.base = Assembly(), Assembly()
-        self.target: tuple[Epoch, int, Address] | None = None  # who has more, and up to where
-        self.best = (0, 0)  # the most that anybody was heard to have, and when
+        self.pending_freshness: list[tuple[int, int]] = []  # fresh then, once so much is committed here
+        self.queries: dict[int, int] = {}  # token: when it was asked
+        self.entry_assembly, self.base_assembly = Assembly(), Assembly()
+        self.fetch_target: tuple[Epoch, int, Address] | None = None  # who has more, and up to where
+        self.most_committed = (0, 0)  # the most that anybody was heard to have, and when
         self.tries = self.ticks = 0
-        self.moved = False  # something arrived since the last beat
-        self.pushed = 0
+        self.progressed = False  # something arrived since the last beat
+        self.pushed_index = 0
 
     def reset(self) -> None:
         self.fresh_at = None
-        self.awaited.clear()
-        self.questions.clear()
-        self.entry.clear()
-        self.base.clear()
-        self.target, self.best, self.pushed = None, (0, 0), self.shared.commit
+        self.pending_freshness.clear()
+        self.queries.clear()
+        self.entry_assembly.clear()
+        self.base_assembly.clear()
+        self.fetch_target, self.most_committed, self.pushed_index = None, (0, 0), self.shared.commit
 
     # ---- the lease ----
 
     def freshness(self) -> int | None:
         lead, shared = self.voter.lead, self.shared
-        known = lead is not None and self.voter.settled() and lead.confirmed_at >= 0
-        if lead is not None and known and lead.confirmed_commit <= shared.commit:
-            self._fresh(lead.confirmed_at)
+        confirmed = lead is not None and self.voter.settled() and lead.confirmed_at >= 0
+        if lead is not None and confirmed and lead.confirmed_commit <= shared.commit:
+            self._raise_freshness(lead.confirmed_at)
         return self.fresh_at
 
-    def _fresh(self, at: int) -> None:
+    def _raise_freshness(self, at: int) -> None:
         self.fresh_at = at if self.fresh_at is None else max(at, self.fresh_at)
 
     def lease_left(self, now: int) -> int:
@@ -77,32 +77,32 @@
 
     def on_tick(self, now: int) -> None:
         shared, self.ticks = self.shared, self.ticks + 1
-        for token in [t for t, at in self.questions.items() if now - at > shared.options.lease]:
-            del self.questions[token]
-        if self.ticks % ASKS == 0:
-            for number in shared.some(4 if shared.blank else 1):
-                self.ask(now, number)
-        self._push(now)
-        self._pull(now)
-
-    def ask(self, now: int, number: int) -> None:
+        for token in [t for t, at in self.queries.items() if now - at > shared.options.lease]:
+            del self.queries[token]
+        if self.ticks % QUERY_TICKS == 0:
+            for number in shared.random_members(4 if shared.blank else 1):
+                self.query(now, number)
+        self._announce_commit(now)
+        self._continue_fetch(now)
+
+    def query(self, now: int, number: int) -> None:
         shared = self.shared
         token = shared.rng.getrandbits(32) or 1
         flags = BLANK * shared.blank | RETIRING * shared.retiring
         if shared.send(
-            now, CARE, number, Kind.ASK, self.voter.term, flags=flags, token=token, index=shared.commit
+            now, MAINTENANCE, number, Kind.ASK, self.voter.term, flags=flags, token=token, index=shared.commit
         ):
-            self.questions[token] = now
+            self.queries[token] = now
 
     def on_ask(self, now: int, message: Message, address: Address) -> None:
-        self.tell(now, address, message.token)
+        self.send_status(now, address, message.token)
 
-    def tell(self, now: int, to: int | Address, token: int) -> None:
+    def send_status(self, now: int, to: int | Address, token: int) -> None:
         shared, leader = self.shared, self.voter.leader or (NO_NUMBER, 0)
         self.freshness()
         shared.send(
             now,
-            CARE,
+            MAINTENANCE,
             to,
             Kind.ANSWER,
             self.voter.term,
@@ -118,72 +118,80 @@
 
     def on_answer(self, now: int, message: Message, address: Address) -> None:
         """Of this epoch."""
-        asked = self.questions.pop(message.token, None)
-        self.hear(now, message.epoch, message.commit, address)
+        asked = self.queries.pop(message.token, None)
+        self.note_commit(now, message.epoch, message.commit, address)
         if self.shared.commit == message.commit and self.shared.log.chain_at(message.commit) != message.chain:
             self.shared.drop("chain")
             return
         if asked is None or message.of == NO_AGE:
             return
         age = int(message.of * 1_000_000 * (1 + 2 * self.shared.options.drift))
-        self.awaited.append((asked - age, message.commit))
-        self._renew()
+        self.pending_freshness.append((asked - age, message.commit))
+        self._apply_pending_freshness()
 
-    def _renew(self) -> None:
+    def _apply_pending_freshness(self) -> None:
         commit = self.shared.commit
-        for at, index in self.awaited:
+        for at, index in self.pending_freshness:
             if index <= commit:
-                self._fresh(at)
-        self.awaited = [(at, index) for at, index in self.awaited if index > commit][-8:]
+                self._raise_freshness(at)
+        self.pending_freshness = [(at, index) for at, index in self.pending_freshness if index > commit][-8:]
 
     # ---- more than is here ----
 
-    def hear(self, now: int, epoch: Epoch, commit: int, address: Address) -> None:
+    def note_commit(self, now: int, epoch: Epoch, commit: int, address: Address) -> None:
         """Somebody has so much of it."""
         shared = self.shared
-        if commit >= self.best[0] or now - self.best[1] > shared.options.lease:
-            self.best = commit, now
+        if commit >= self.most_committed[0] or now - self.most_committed[1] > shared.options.lease:
+            self.most_committed = commit, now
         if epoch == shared.epoch and commit <= shared.commit:
             return
-        more = self.target is None or (epoch[1:], commit) > (self.target[0][1:], self.target[1])
-        if more or self.target is not None and epoch == self.target[0] and self.tries >= OTHER:
-            if self.target is None or self.target[0] != epoch:
-                self.base.clear()
-            self.target, self.tries = (epoch, commit, address), 0
+        further = self.fetch_target is None or (epoch[1:], commit) > (
+            self.fetch_target[0][1:],
+            self.fetch_target[1],
+        )
+        if (
+            further
+            or self.fetch_target is not None
+            and epoch == self.fetch_target[0]
+            and self.tries >= SWITCH_AFTER
+        ):
+            if self.fetch_target is None or self.fetch_target[0] != epoch:
+                self.base_assembly.clear()
+            self.fetch_target, self.tries = (epoch, commit, address), 0
 
-    def _pull(self, now: int) -> None:
+    def _continue_fetch(self, now: int) -> None:
         """Ask for what is missing, again where nothing came."""
-        if self.target is None:
+        if self.fetch_target is None:
             return
-        moved, self.moved = self.moved, False
-        epoch, commit, _ = self.target
+        progressed, self.progressed = self.progressed, False
+        epoch, commit, _ = self.fetch_target
         if epoch == self.shared.epoch and commit <= self.shared.commit:
-            self.target = None
-        elif not moved:
+            self.fetch_target = None
+        elif not progressed:
             self.tries += 1
-            if self.tries > TRIES:
-                self.target = None
+            if self.tries > MAX_FETCH_TRIES:
+                self.fetch_target = None
             else:
                 self.fetch(now)
 
     def fetch(self, now: int) -> None:
-        if self.target is None:
+        if self.fetch_target is None:
             return
-        epoch, _, address = self.target
+        epoch, _, address = self.fetch_target
         index = self.shared.commit + 1 if epoch == self.shared.epoch else 0
-        part = len(self.entry.got) if self.entry.name[:1] == (index,) else 0
-        base = self.base.name[0] if self.base.name else 0
+        offset = len(self.entry_assembly.received) if self.entry_assembly.key[:1] == (index,) else 0
+        base_index = self.base_assembly.key[0] if self.base_assembly.key else 0
         self.shared.send(
             now,
-            CARE,
+            MAINTENANCE,
             address,
             Kind.FETCH,
             self.voter.term,
             epoch=epoch,
             index=index,
-            offset=part,
-            prev=base,
-            length=len(self.base.got),
+            offset=offset,
+            prev=base_index,
+            length=len(self.base_assembly.received),
         )
 
     def on_fetch(self, now: int, message: Message, address: Address) -> None:
@@ -198,13 +206,13 @@
                 return
             entry = shared.log.entry(index)
             chunk = entry.body[offset : offset + CHUNK]
-            ends = offset + len(chunk) >= len(entry.body)
-            last = n == BURST - 1 or ends and index == shared.commit
-            if not self._send_piece(now, address, index, offset, chunk, LAST * last):
+            entry_ends = offset + len(chunk) >= len(entry.body)
+            last = n == BURST - 1 or entry_ends and index == shared.commit
+            if not self._send_chunk(now, address, index, offset, chunk, END_OF_BURST * last):
                 return
-            index, offset = (index + 1, 0) if ends else (index, offset + len(chunk))
+            index, offset = (index + 1, 0) if entry_ends else (index, offset + len(chunk))
 
-    def _send_piece(
+    def _send_chunk(
         self, now: int, to: int | Address, index: int, offset: int, chunk: bytes, flags: int
     ) -> bool:
         shared = self.shared
@@ -233,14 +241,14 @@
         offset = message.length if message.prev == base.index and message.length < len(whole) else 0
         for n in range(BURST):
             chunk = whole[offset : offset + CHUNK]
-            ends = offset + len(chunk) >= len(whole)
+            base_ends = offset + len(chunk) >= len(whole)
             if not self.shared.send(
                 now,
                 BULK,
                 address,
                 Kind.BASE,
                 self.voter.term,
-                flags=LAST * (ends or n == BURST - 1),
+                flags=END_OF_BURST * (base_ends or n == BURST - 1),
                 index=base.index,
                 length=len(whole),
                 offset=offset,
@@ -249,55 +257,63 @@
             ):
                 return
             offset += len(chunk)
-            if ends:
+            if base_ends:
                 return
 
     def on_piece(self, now: int, message: Message, address: Address) -> None:
         """A piece of a committed entry of this epoch."""
         shared = self.shared
-        self.hear(now, message.epoch, message.commit, address)
+        self.note_commit(now, message.epoch, message.commit, address)
         if message.index == shared.commit + 1:
             name = (message.index, message.of, message.chain)
-            before = len(self.entry.got)
-            body = self.entry.add(name, message.length, message.offset, message.chunk)
-            self.moved = self.moved or body is not None or len(self.entry.got) > before
+            received = len(self.entry_assembly.received)
+            body = self.entry_assembly.add(name, message.length, message.offset, message.chunk)
+            self.progressed = (
+                self.progressed or body is not None or len(self.entry_assembly.received) > received
+            )
             if body is not None:
-                self._take(now, message, Entry(message.of, message.sort, message.ident, body))
-        if message.flags & LAST and self.target is not None and self.target[1] > shared.commit:
+                self._append_committed(now, message, Entry(message.of, message.sort, message.ident, body))
+        if (
+            message.flags & END_OF_BURST
+            and self.fetch_target is not None
+            and self.fetch_target[1] > shared.commit
+        ):
             self.fetch(now)
 
-    def _take(self, now: int, message: Message, entry: Entry) -> None:
+    def _append_committed(self, now: int, message: Message, entry: Entry) -> None:
         """A committed entry, the next one: what stands in its place and is another was never committed."""
         shared, log = self.shared, self.shared.log
         index = message.index
         if log.chain_at(index) != message.chain:
             if log.holds(index):
                 self.voter.step_down(now)
-                shared.cut(index)
+                shared.truncate(index)
             try:
                 shared.append(entry)
             except ValueError:
                 shared.drop("entry")
                 return
             if log.chain_at(index) != message.chain:
-                shared.cut(index)
+                shared.truncate(index)
                 shared.drop("chain")
                 return
         shared.advance(index)
-        self._renew()
+        self._apply_pending_freshness()
 
     def on_base(self, now: int, message: Message, address: Address) -> Base | None:
         """A piece of a base, of this epoch or of the one that is fetched; the whole one of the latter."""
         shared = self.shared
-        if self.target is None or message.epoch != self.target[0]:
+        if self.fetch_target is None or message.epoch != self.fetch_target[0]:
             return None
         if message.epoch == shared.epoch and message.index <= shared.commit:
             return None
-        before = len(self.base.got)
-        whole = self.base.add((message.index, message.chain), message.length, message.offset, message.chunk)
-        self.moved = self.moved or whole is not None or len(self.base.got) > before
+        received = len(self.base_assembly.received)
+        whole = self.base_assembly.add(
+            (message.index, message.chain), message.length, message.offset, message.chunk
+        )
+        self.progressed = self.progressed or whole is not None or len(self.base_assembly.received) > received
         if whole is None:
-            if message.flags & LAST:
+            if message.flags & END_OF_BURST:
                 self.fetch(now)
             return None
         try:
@@ -310,25 +326,25 @@
         if message.epoch != shared.epoch:
             return base
         self.voter.step_down(now)
-        shared.begin(base)
-        self._renew()
+        shared.install_base(base)
+        self._apply_pending_freshness()
         self.fetch(now)
         return None
 
     # ---- news ----
 
-    def _push(self, now: int) -> None:
+    def _announce_commit(self, now: int) -> None:
         """To some, once."""
-        if not self.shared.blank and self.shared.commit > self.pushed:
-            for number in self.shared.some(FANOUT):
-                self.pass_on(now, number)
-            self.pushed = self.shared.commit
+        if not self.shared.blank and self.shared.commit > self.pushed_index:
+            for number in self.shared.random_members(FANOUT):
+                self.push(now, number)
+            self.pushed_index = self.shared.commit
 
-    def pass_on(self, now: int, to: int | Address) -> None:
+    def push(self, now: int, to: int | Address) -> None:
         """The last change itself where it is the only one since the last push, and short; else word of it."""
         log, index = self.shared.log, self.shared.commit
-        entry = log.entry(index) if log.holds(index) and index == self.pushed + 1 else None
+        entry = log.entry(index) if log.holds(index) and index == self.pushed_index + 1 else None
         if entry is not None and entry.sort != Sort.NOTHING and len(entry.body) <= CHUNK:
-            self._send_piece(now, to, index, 0, entry.body, LAST)
+            self._send_chunk(now, to, index, 0, entry.body, END_OF_BURST)
         else:
-            self.tell(now, to, 0)
+            self.send_status(now, to, 0)
--- a/dykeshift/agree/state.py
+++ b/dykeshift/agree/state.py
@@ -14,9 +14,14 @@
 from dykeshift.view.table import Address
 from dykeshift.view.wire import MOST, Seal
 
-NOWHERE: Epoch = (0, 0, 0)  # of who knows no history
-URGENT, ACTION, CARE, BULK = range(4)  # priorities
-RESERVE = {URGENT: 0.0, ACTION: 0.1, CARE: 0.2, BULK: 0.35}  # of the budget, kept for what is more urgent
+NO_EPOCH: Epoch = (0, 0, 0)  # of who knows no history
+URGENT, REQUEST, MAINTENANCE, BULK = range(4)  # priorities
+RESERVED_SHARE = {
+    URGENT: 0.0,
+    REQUEST: 0.1,
+    MAINTENANCE: 0.2,
+    BULK: 0.35,
+}  # of the budget, kept for what is more urgent
 
 Out = list[tuple[bytes, Address]]
 
@@ -97,20 +102,20 @@
         self.birth = rng.getrandbits(32) or 1
         self.places = dict(places)  # where each number lives
         self.alive: set[int] = set(places)  # numbers that the view holds for alive
-        self.epoch = NOWHERE
-        self.heard = NOWHERE  # the latest epoch of its history that it has heard of
+        self.epoch = NO_EPOCH
+        self.latest_epoch = NO_EPOCH  # the latest epoch of its history that it has heard of
         self.retiring = False
         self.log = Log(Base())
         self.commit = 0
         self.snapshot: Base | None = None  # the base of the next compaction
-        self.budget = Budget(options.datagrams, options.size, RESERVE)
+        self.budget = Budget(options.datagrams, options.size, RESERVED_SHARE)
         self.dropped: dict[str, int] = {}
         self.out: Out = []
         self.events: list[Event] = []
         self.disk = disk
         self.records: list[Record] = []
         self.written = 0  # records that were handed out to be kept
-        self.unkept: deque[tuple[int, int]] = deque()  # record's number, index of the entry
+        self.pending_entries: deque[tuple[int, int]] = deque()  # record's number, index of the entry
 
     @property
     def me(self) -> Seat:
@@ -118,16 +123,16 @@
 
     @property
     def blank(self) -> bool:
-        return self.epoch == NOWHERE
+        return self.epoch == NO_EPOCH
 
     @property
     def fenced(self) -> bool:
         """A later epoch is known, and this process does not belong to it yet."""
-        return self.heard[1:] > self.epoch[1:]
+        return self.latest_epoch[1:] > self.epoch[1:]
 
-    def hear_of(self, epoch: Epoch) -> None:
-        self.heard = epoch
-        self.keep("heard", epoch)
+    def note_epoch(self, epoch: Epoch) -> None:
+        self.latest_epoch = epoch
+        self.persist("heard", epoch)
 
     # ---- sending ----
 
@@ -161,32 +166,32 @@
 
     # ---- what has to be kept ----
 
-    def keep(self, *record: Any) -> None:
+    def persist(self, *record: Any) -> None:
         if self.disk:
             self.records.append(record)
             self.written += 1
 
     def append(self, entry: Entry) -> int:
         index = self.log.append(entry)
-        self.keep("entry", entry)
+        self.persist("entry", entry)
         if self.disk:
-            self.unkept.append((self.written, index))
+            self.pending_entries.append((self.written, index))
         return index
 
-    def cut(self, index: int) -> None:
+    def truncate(self, index: int) -> None:
         assert index > self.commit, "what is committed is never cut off"
-        self.log.cut(index)
-        self.keep("cut", index)
-        while self.unkept and self.unkept[-1][1] >= index:
-            self.unkept.pop()
+        self.log.truncate(index)
+        self.persist("cut", index)
+        while self.pending_entries and self.pending_entries[-1][1] >= index:
+            self.pending_entries.pop()
 
-    def kept(self) -> int:
+    def durable_index(self) -> int:
         """Up to which index this process may count its own copy."""
-        return self.unkept[0][1] - 1 if self.unkept else self.log.last
+        return self.pending_entries[0][1] - 1 if self.pending_entries else self.log.last
 
-    def on_kept(self, number: int) -> None:
-        while self.unkept and self.unkept[0][0] <= number:
-            self.unkept.popleft()
+    def on_persisted(self, number: int) -> None:
+        while self.pending_entries and self.pending_entries[0][0] <= number:
+            self.pending_entries.popleft()
 
     # ---- what is committed ----
 
@@ -206,22 +211,24 @@
         if self.commit - (self.snapshot or self.log.base).index < self.options.keep:
             return
         if self.snapshot is not None:
-            self.log.begin_at(self.snapshot)
-            self.keep("base", self.snapshot)
+            self.log.reset_to_base(self.snapshot)
+            self.persist("base", self.snapshot)
         self.snapshot = self.log.base_at(self.commit, self.machine.snapshot())
 
-    def begin(self, base: Base, told: bool = True) -> None:
+    def install_base(self, base: Base, announce: bool = True) -> None:
         """Everything up to this base is committed, and known by its state only."""
-        self.log.begin_at(base)
+        self.log.reset_to_base(base)
         self.commit, self.snapshot = base.index, None
-        self.unkept = deque((n, i) for n, i in self.unkept if i > base.index and i <= self.log.last)
-        self.keep("base", base)
+        self.pending_entries = deque(
+            (n, i) for n, i in self.pending_entries if i > base.index and i <= self.log.last
+        )
+        self.persist("base", base)
         self.machine.restore(base.version, base.state)
-        if told:
+        if announce:
             self.emit("installed", version=base.version, body=base.state)
 
-    def some(self, most: int, but: Iterable[int] = ()) -> list[int]:
+    def random_members(self, limit: int, excluded: Iterable[int] = ()) -> list[int]:
         """Numbers believed alive, at random."""
-        left = [n for n in self.alive if n != self.number and n not in but and n in self.places]
-        left.sort()
-        return self.rng.sample(left, min(most, len(left)))
+        eligible = [n for n in self.alive if n != self.number and n not in excluded and n in self.places]
+        eligible.sort()
+        return self.rng.sample(eligible, min(limit, len(eligible)))
--- a/dykeshift/agree/voting.py
+++ b/dykeshift/agree/voting.py
@@ -19,19 +19,21 @@
 
 from dykeshift.agree.log import Entry, Sort, pack_seats
 from dykeshift.agree.pieces import Assembly
-from dykeshift.agree.seats import Seats, Seen, next_change
-from dykeshift.agree.state import CARE, URGENT, Shared
-from dykeshift.agree.wire import CHUNK, KEPT, LOST, RETIRING, YES, Kind, Message, Seat
+from dykeshift.agree.seats import Seats, MemberStatus, next_change
+from dykeshift.agree.state import MAINTENANCE, URGENT, Shared
+from dykeshift.agree.wire import CHUNK, HAS_DISK, LOST_ENTRIES, RETIRING, YES, Kind, Message, Seat
 from dykeshift.view.table import Address
 
-PATIENCE = 5  # beats without a leader before an election; twice that at most, drawn
-SILENT = 3  # beats after which a voter that has not answered gets no entries until it does
-WINDOW = 8  # datagrams to one voter that are not answered yet
-BARE = 0xFF  # sort of an APPEND that carries no entry
-BEHIND = 8  # entries that a process may lack to get a seat
-GAP = 4  # of a beat: rounds that have a cause are not closer to one another
-PROOF = 40  # looks round, half a beat each, that a leader has to see what a process brings from its disk
-ROUNDS = 64  # of the leader that may be unconfirmed
+ELECTION_TIMEOUT_HEARTBEATS = 5  # beats without a leader before an election; twice that at most, drawn
+UNRESPONSIVE_HEARTBEATS = 3  # beats after which a voter that has not answered gets no entries until it does
+MAX_IN_FLIGHT = 8  # datagrams to one voter that are not answered yet
+NO_ENTRY = 0xFF  # sort of an APPEND that carries no entry
+MAX_LAG = 8  # entries that a process may lack to get a seat
+ROUND_GAP_DIVISOR = 4  # of a beat: rounds that have a cause are not closer to one another
+LOG_CHECK_TICKS = (
+    40  # looks round, half a beat each, that a leader has to see what a process brings from its disk
+)
+MAX_UNCONFIRMED_ROUNDS = 64  # of the leader that may be unconfirmed
 
 
 class Role(IntEnum):
@@ -48,31 +50,31 @@
     next: int  # the entry to send, and from where in it
     offset: int = 0
     match: int = 0
-    acked: int = 0  # the highest round that it answered
-    heard: int = 0
+    acked_round: int = 0  # the highest round that it answered
+    heard_at: int = 0
     flight: int = 0  # datagrams with entries that it has not answered
-    part: tuple[int, int] = (0, 0)  # an entry, and how much of it has arrived
+    partial: tuple[int, int] = (0, 0)  # an entry, and how much of it has arrived
     retiring: bool = False
-    proved: int = 0  # the round that was the latest when its `match` came
-    broken: bool = False  # it has lost what it said it had
+    match_round: int = 0  # the round that was the latest when its `match` came
+    lost_entries: bool = False  # it has lost what it said it had
 
 
 @dataclass(slots=True)
-class Lead:
+class LeaderState:
     """What only a leader has."""
 
     first: int  # index of the first entry of its term
-    due: int = 0  # when it speaks next without a cause
-    spoke: int = 0  # when its last round began
-    kept_up: int = 0  # when it last looked after its voters
+    next_round_at: int = 0  # when it speaks next without a cause
+    round_started_at: int = 0  # when its last round began
+    maintained_at: int = 0  # when it last looked after its voters
     round: int = 0
-    sent: dict[int, tuple[int, int]] = field(default_factory=dict)  # round: when, what was committed
+    unconfirmed: dict[int, tuple[int, int]] = field(default_factory=dict)  # round: when, what was committed
     confirmed: int = 0  # the latest round that a majority answered
     confirmed_at: int = -1
     confirmed_commit: int = 0
     progress: dict[Seat, Progress] = field(default_factory=dict)
-    seen: dict[int, Seen] = field(default_factory=dict)
-    asked: dict[int, tuple[int, int]] = field(default_factory=dict)  # token: number, when
+    member_status: dict[int, MemberStatus] = field(default_factory=dict)
+    status_queries: dict[int, tuple[int, int]] = field(default_factory=dict)  # token: number, when
 
 
 class Voter:
@@ -83,15 +85,15 @@
         self.vote: Seat | None = None
         self.leader: Seat | None = None
         self.heard = -1  # when the leader was last heard; -1: never
-        self.until = 0  # how long there is patience
-        self.pre = True  # a candidate's first stage
+        self.election_due = 0  # how long there is patience
+        self.prevoting = True  # a candidate's first stage
         self.votes: set[Seat] = set()
-        self.token = 0
-        self.lead: Lead | None = None
+        self.prevote_token = 0
+        self.lead: LeaderState | None = None
         self.assembly = Assembly()
-        self.first = 0  # of the records, the one with the present vote
+        self.vote_record = 0  # of the records, the one with the present vote
         # back from a disk: beats in which a leader is to see whether it holds what it promised
-        self.unproved = 0
+        self.log_check_ticks = 0
 
     # ---- what everybody does ----
 
@@ -102,17 +104,17 @@
     def seated(self) -> bool:
         return self.shared.me in self.seats.all and not self.shared.fenced
 
-    def rest(self, now: int) -> None:
+    def reset_election_timer(self, now: int) -> None:
         """Draw anew how long to wait for a leader."""
         beat = self.shared.options.beat
-        self.until = now + int(beat * PATIENCE * (1 + self.shared.rng.random()))
+        self.election_due = now + int(beat * ELECTION_TIMEOUT_HEARTBEATS * (1 + self.shared.rng.random()))
 
     def reset(self, now: int) -> None:
         """Another epoch, or another birth: nothing was promised in it."""
         self.term, self.vote, self.leader, self.heard = 0, None, None, -1
         self._become(Role.LEARNER)
         self.assembly.clear()
-        self.rest(now)
+        self.reset_election_timer(now)
 
     def _become(self, role: Role) -> None:
         if role is not Role.LEADER:
@@ -121,16 +123,16 @@
             self.role = role
             self.shared.emit("role", text=role.name.lower())
 
-    def _follow(self, now: int, term: int, leader: Seat | None) -> None:
+    def _enter_term(self, now: int, term: int, leader: Seat | None) -> None:
         """Belong to this term, at least the present one."""
         if term > self.term:
             self.term, self.vote = term, None
-            self.shared.keep("vote", term, None)
+            self.shared.persist("vote", term, None)
         if self.role is not Role.LEARNER or self.seated():
             self._become(Role.FOLLOWER if self.seated() else Role.LEARNER)
         if leader is not None:
             self.heard = now
-            self.rest(now)
+            self.reset_election_timer(now)
         if leader != self.leader:
             self.leader = leader
             if leader is not None:
@@ -138,164 +140,177 @@
 
     def step_down(self, now: int) -> None:
         if self.role is not Role.LEARNER:
-            self._follow(now, self.term, None)
-            self.rest(now)
+            self._enter_term(now, self.term, None)
+            self.reset_election_timer(now)
 
     def on_tick(self, now: int) -> None:
-        self.check(now)
-        self.unproved = max(0, self.unproved - 1)
+        self.check_quorum(now)
+        self.log_check_ticks = max(0, self.log_check_ticks - 1)
         if self.lead is not None:
-            if now >= self.lead.due:
-                again = now - self.lead.kept_up >= self.shared.options.beat * 9 // 10
-                if again:
-                    self.lead.kept_up = now
-                    self._upkeep(now)
-                self.lead.due = now + self.shared.options.beat * 9 // 10
-                self.broadcast(now, again)
+            if now >= self.lead.next_round_at:
+                resend = now - self.lead.maintained_at >= self.shared.options.beat * 9 // 10
+                if resend:
+                    self.lead.maintained_at = now
+                    self._maintain_seats(now)
+                self.lead.next_round_at = now + self.shared.options.beat * 9 // 10
+                self.broadcast(now, resend)
             return
         seated = self.seated()
         if seated and self.role is Role.LEARNER:
             self._become(Role.FOLLOWER)
-            self.rest(now)
+            self.reset_election_timer(now)
         elif not seated and self.role is not Role.LEARNER:
             self._become(Role.LEARNER)
-        if seated and now >= self.until:
-            self._ask_before(now)
+        if seated and now >= self.election_due:
+            self._start_prevote(now)
 
-    def check(self, now: int) -> None:
+    def check_quorum(self, now: int) -> None:
         """A leader whom no majority has answered for as long as an election takes is none any more; also one
         that stood still: it finds this before it does anything else."""
         lead = self.lead
         if lead is None:
             return
-        longest = 2 * PATIENCE * self.shared.options.beat
-        if not self.seats.quorum(lambda s: s == self.shared.me or now - lead.progress[s].heard < longest):
+        limit = 2 * ELECTION_TIMEOUT_HEARTBEATS * self.shared.options.beat
+        if not self.seats.quorum(lambda s: s == self.shared.me or now - lead.progress[s].heard_at < limit):
             self.step_down(now)
 
     # ---- elections ----
 
-    def _ask_before(self, now: int) -> None:
-        self.rest(now)
+    def _start_prevote(self, now: int) -> None:
+        self.reset_election_timer(now)
         self._become(Role.CANDIDATE)
-        self.leader, self.pre, self.votes = None, True, {self.shared.me}
-        self.token = self.shared.rng.getrandbits(32) or 1
+        self.leader, self.prevoting, self.votes = None, True, {self.shared.me}
+        self.prevote_token = self.shared.rng.getrandbits(32) or 1
         log = self.shared.log
         if self.seats.quorum(lambda s: s in self.votes):
             self.stand(now)
             return
-        for number in self._others():
+        for number in self._other_numbers():
             self.shared.send(
                 now,
                 URGENT,
                 number,
                 Kind.PREVOTE,
                 self.term + 1,
-                token=self.token,
+                token=self.prevote_token,
                 index=log.last,
                 of=log.last_term,
             )
 
-    def _others(self) -> list[int]:
+    def _other_numbers(self) -> list[int]:
         return sorted({n for n, _ in self.seats.all if n != self.shared.number})
 
-    def stand(self, now: int, asked: bool = False) -> None:
+    def stand(self, now: int, by_request: bool = False) -> None:
         """Call an election. `asked`: by the leader, which leaves."""
         if not self.seated():
             return
         shared, log = self.shared, self.shared.log
-        self.rest(now)
+        self.reset_election_timer(now)
         self._become(Role.CANDIDATE)
         self.term, self.vote, self.leader = self.term + 1, shared.me, None
-        shared.keep("vote", self.term, self.vote)
-        self.first = shared.written
-        self.pre, self.votes = False, {shared.me}
-        for number in self._others():
+        shared.persist("vote", self.term, self.vote)
+        self.vote_record = shared.written
+        self.prevoting, self.votes = False, {shared.me}
+        for number in self._other_numbers():
             shared.send(
                 now,
                 URGENT,
                 number,
                 Kind.VOTE,
                 self.term,
-                flags=YES * asked,
+                flags=YES * by_request,
                 index=log.last,
                 prev=log.last_term,
             )
-        self.count(now)
+        self.count_votes(now)
 
-    def _current(self, index: int, term: int) -> bool:
+    def _log_up_to_date(self, index: int, term: int) -> bool:
         """Whether a log that ends like that has all that this one has."""
         log = self.shared.log
         return (term, index) >= (log.last_term, log.last)
 
-    def trusting(self, now: int) -> bool:
+    def trusts_leader(self, now: int) -> bool:
         """The leader was heard so lately that nobody has to be elected."""
         beat = self.shared.options.beat
-        return self.lead is not None or self.heard >= 0 and now - self.heard < PATIENCE * beat
+        return (
+            self.lead is not None or self.heard >= 0 and now - self.heard < ELECTION_TIMEOUT_HEARTBEATS * beat
+        )
 
     def on_prevote(self, now: int, message: Message, address: Address) -> None:
-        newer = message.term > self.term and self._current(message.index, message.of)
-        yes = newer and not self.trusting(now)
-        self.shared.send(now, URGENT, address, Kind.PREVOTED, self.term, flags=YES * yes, token=message.token)
+        eligible = message.term > self.term and self._log_up_to_date(message.index, message.of)
+        granted = eligible and not self.trusts_leader(now)
+        self.shared.send(
+            now, URGENT, address, Kind.PREVOTED, self.term, flags=YES * granted, token=message.token
+        )
 
     def on_prevoted(self, now: int, message: Message) -> None:
         if message.term > self.term:
-            self._follow(now, message.term, None)
-        elif self.role is Role.CANDIDATE and self.pre and message.token == self.token and message.flags & YES:
+            self._enter_term(now, message.term, None)
+        elif (
+            self.role is Role.CANDIDATE
+            and self.prevoting
+            and message.token == self.prevote_token
+            and message.flags & YES
+        ):
             self.votes.add(message.sender)
             if self.seats.quorum(lambda s: s in self.votes):
                 self.stand(now)
 
     def on_vote(self, now: int, message: Message, address: Address) -> None:
-        if self.trusting(now) and not message.flags & YES:
+        if self.trusts_leader(now) and not message.flags & YES:
             return
         if message.term > self.term:
-            self._follow(now, message.term, None)
-        yes = (
+            self._enter_term(now, message.term, None)
+        granted = (
             message.term == self.term
             and self.vote in (None, message.sender)
-            and self._current(message.index, message.prev)
+            and self._log_up_to_date(message.index, message.prev)
             and self.role is not Role.LEADER
         )
-        if yes and self.vote is None:
+        if granted and self.vote is None:
             self.vote = message.sender
-            self.shared.keep("vote", self.term, self.vote)
-            self.rest(now)
-        self.shared.send(now, URGENT, address, Kind.VOTED, self.term, flags=YES * yes)
+            self.shared.persist("vote", self.term, self.vote)
+            self.reset_election_timer(now)
+        self.shared.send(now, URGENT, address, Kind.VOTED, self.term, flags=YES * granted)
 
     def on_voted(self, now: int, message: Message) -> None:
         if message.term > self.term:
-            self._follow(now, message.term, None)
-        elif message.term == self.term and message.flags & YES and not self.pre:
+            self._enter_term(now, message.term, None)
+        elif message.term == self.term and message.flags & YES and not self.prevoting:
             self.votes.add(message.sender)
-            self.count(now)
+            self.count_votes(now)
 
-    def count(self, now: int, kept: int | None = None) -> None:
+    def count_votes(self, now: int, persisted: int | None = None) -> None:
         """Lead, where a majority has voted for this process and its vote is kept. `kept`: records so far."""
         shared = self.shared
-        own = not shared.disk or kept is not None and kept >= self.first
-        if self.role is not Role.CANDIDATE or self.pre or not self.seats.quorum(lambda s: s in self.votes):
+        own_vote_durable = not shared.disk or persisted is not None and persisted >= self.vote_record
+        if (
+            self.role is not Role.CANDIDATE
+            or self.prevoting
+            or not self.seats.quorum(lambda s: s in self.votes)
+        ):
             return
-        if not own and self.votes == {shared.me}:
+        if not own_vote_durable and self.votes == {shared.me}:
             return  # others answer only what was sent after it was kept
         self._become(Role.LEADER)
         self.leader, self.heard = shared.me, now
         shared.emit("leader", text=str(shared.number))
-        self.lead = Lead(shared.log.last + 1)
+        self.lead = LeaderState(shared.log.last + 1)
         for seat in self.seats.all:
-            self._meet(now, seat)
+            self._track(now, seat)
         shared.append(Entry(self.term, Sort.NOTHING, 0, b""))
         self.broadcast(now)
         self.commit(now)
 
     def on_now(self, now: int, message: Message) -> None:
         if message.term == self.term and message.sender == self.leader:
-            self.stand(now, asked=True)
+            self.stand(now, by_request=True)
 
-    def hand_over(self, now: int) -> None:
+    def transfer_leadership(self, now: int) -> None:
         """Ask the voter that has most to be leader; it does not have to."""
         if self.lead is None:
             return
-        able = [
+        eligible = [
             (p.match, seat)
             for seat, p in self.lead.progress.items()
             if seat != self.shared.me
@@ -303,74 +318,77 @@
             and not p.retiring
             and p.match == self.shared.log.last
         ]
-        if able:
-            self.shared.send(now, URGENT, max(able)[1][0], Kind.NOW, self.term)
+        if eligible:
+            self.shared.send(now, URGENT, max(eligible)[1][0], Kind.NOW, self.term)
 
     # ---- the leader's words ----
 
-    def _meet(self, now: int, seat: Seat) -> None:
+    def _track(self, now: int, seat: Seat) -> None:
         assert self.lead is not None
         if seat not in self.lead.progress:
-            self.lead.progress[seat] = Progress(self.shared.log.last + 1, heard=now)
+            self.lead.progress[seat] = Progress(self.shared.log.last + 1, heard_at=now)
 
-    def soon(self, now: int) -> int:
+    def request_round(self, now: int) -> int:
         """A round begun after this: at once, or with the next tick where the last one has just begun."""
         lead = self.lead
         assert lead is not None
-        if now - lead.spoke >= self.shared.options.beat // GAP:
+        if now - lead.round_started_at >= self.shared.options.beat // ROUND_GAP_DIVISOR:
             return self.broadcast(now)
-        lead.due = now
+        lead.next_round_at = now
         return lead.round + 1
 
-    def broadcast(self, now: int, again: bool = False) -> int:
+    def broadcast(self, now: int, resend: bool = False) -> int:
         """A round of words to all voters; its number. `again`: with what was sent and is not answered."""
         lead = self.lead
         assert lead is not None
-        lead.round, lead.spoke = lead.round + 1, now
-        lead.sent[lead.round] = (now, self.shared.commit)
-        if len(lead.sent) > ROUNDS:
-            del lead.sent[next(iter(lead.sent))]
+        lead.round, lead.round_started_at = lead.round + 1, now
+        lead.unconfirmed[lead.round] = (now, self.shared.commit)
+        if len(lead.unconfirmed) > MAX_UNCONFIRMED_ROUNDS:
+            del lead.unconfirmed[next(iter(lead.unconfirmed))]
         for seat in sorted(self.seats.all):
-            self._meet(now, seat)
+            self._track(now, seat)
             if seat != self.shared.me:
-                self.feed(now, seat, True, again)
-        self._confirm(now)
+                self.send_entries(now, seat, True, resend)
+        self._confirm_rounds(now)
         return lead.round
 
-    def feed(self, now: int, seat: Seat, word: bool = False, again: bool = False) -> None:
+    def send_entries(self, now: int, seat: Seat, heartbeat: bool = False, resend: bool = False) -> None:
         """Send what this voter lacks, as far as its window goes. `word`: a round, with or without entries."""
         lead, log = self.lead, self.shared.log
         assert lead is not None
-        p = lead.progress[seat]
-        if again and p.flight:  # from where it said it was
-            p.next, p.flight = max(p.match + 1, min(p.next, log.last + 1) - WINDOW), 0
-            p.offset = p.part[1] if p.part[0] == p.next else 0
+        progress = lead.progress[seat]
+        if resend and progress.flight:  # from where it said it was
+            progress.next, progress.flight = (
+                max(progress.match + 1, min(progress.next, log.last + 1) - MAX_IN_FLIGHT),
+                0,
+            )
+            progress.offset = progress.partial[1] if progress.partial[0] == progress.next else 0
         # One that does not answer gets the round alone: what it lacks would take the budget of the others.
-        answers = now - p.heard <= SILENT * self.shared.options.beat
-        while answers and p.flight < WINDOW and log.holds(p.next):
-            entry = log.entry(p.next)
-            chunk = entry.body[p.offset : p.offset + CHUNK]
-            if not self._append(now, seat, p.next, entry, p.offset, chunk):
+        responsive = now - progress.heard_at <= UNRESPONSIVE_HEARTBEATS * self.shared.options.beat
+        while responsive and progress.flight < MAX_IN_FLIGHT and log.holds(progress.next):
+            entry = log.entry(progress.next)
+            chunk = entry.body[progress.offset : progress.offset + CHUNK]
+            if not self._append(now, seat, progress.next, entry, progress.offset, chunk):
                 return
-            word = False
-            p.flight += 1
-            p.offset += len(chunk)
-            if p.offset >= len(entry.body):
-                p.next, p.offset = p.next + 1, 0
-        if word:
-            self._append(now, seat, max(p.next, log.base.index + 1), None, 0, b"")
+            heartbeat = False
+            progress.flight += 1
+            progress.offset += len(chunk)
+            if progress.offset >= len(entry.body):
+                progress.next, progress.offset = progress.next + 1, 0
+        if heartbeat:
+            self._append(now, seat, max(progress.next, log.base.index + 1), None, 0, b"")
 
     def _append(
         self, now: int, seat: Seat, index: int, entry: Entry | None, offset: int, chunk: bytes
     ) -> bool:
         lead, log = self.lead, self.shared.log
         assert lead is not None
-        before = log.term_at(index - 1)
-        sort, of, ident, length, chain = BARE, 0, 0, 0, 0
+        previous_term = log.term_at(index - 1)
+        kind, term, ident, length, chain = NO_ENTRY, 0, 0, 0, 0
         if entry is not None:
-            sort, of, ident, length = entry.sort, entry.term, entry.ident, len(entry.body)
+            kind, term, ident, length = entry.sort, entry.term, entry.ident, len(entry.body)
             chain = log.chain_at(index) or 0
-        flags = self._flags() | LOST * lead.progress[seat].broken
+        flags = self._flags() | LOST_ENTRIES * lead.progress[seat].lost_entries
         return self.shared.send(
             now,
             URGENT,
@@ -381,9 +399,9 @@
             token=lead.round,
             commit=self.shared.commit,
             index=index,
-            prev=before or 0,
-            of=of,
-            sort=sort,
+            prev=previous_term or 0,
+            of=term,
+            sort=kind,
             ident=ident,
             length=length,
             offset=offset,
@@ -392,41 +410,41 @@
         )
 
     def _flags(self) -> int:
-        return RETIRING * self.shared.retiring | KEPT * self.shared.disk
+        return RETIRING * self.shared.retiring | HAS_DISK * self.shared.disk
 
     def on_append(self, now: int, message: Message, address: Address) -> None:
         if message.term < self.term or message.term == self.term and self.role is Role.LEADER:
             self.shared.send(now, URGENT, address, Kind.APPENDED, self.term, token=0)
             return
-        self._follow(now, message.term, message.sender)
-        self.unproved = 0
+        self._enter_term(now, message.term, message.sender)
+        self.log_check_ticks = 0
         shared, log = self.shared, self.shared.log
-        index, yes = message.index - 1, True
+        index, accepted = message.index - 1, True
         if message.index <= shared.commit:
             index = shared.commit
         elif log.term_at(index) != message.prev:
-            index, yes = min(log.last, index - 1), False
+            index, accepted = min(log.last, index - 1), False
             index = max(index, shared.commit)
-        if yes and message.index > shared.commit and message.sort != BARE:
-            index = self._take(message)
-        if yes:
-            fits = min(message.commit, index)
-            if fits > shared.commit:
-                shared.advance(fits)
-        offset = len(self.assembly.got) if self.assembly.name[:1] == (index + 1,) else 0
+        if accepted and message.index > shared.commit and message.sort != NO_ENTRY:
+            index = self._store_entry(message)
+        if accepted:
+            committed = min(message.commit, index)
+            if committed > shared.commit:
+                shared.advance(committed)
+        offset = len(self.assembly.received) if self.assembly.key[:1] == (index + 1,) else 0
         shared.send(
             now,
             URGENT,
             address,
             Kind.APPENDED,
             self.term,
-            flags=self._flags() | YES * yes,
+            flags=self._flags() | YES * accepted,
             token=message.token,
             index=index,
             offset=offset,
         )
 
-    def _take(self, message: Message) -> int:
+    def _store_entry(self, message: Message) -> int:
         """A piece of the entry behind one that fits; up to which index the log is the leader's now."""
         shared, log = self.shared, self.shared.log
         if log.term_at(message.index) == message.of:
@@ -438,7 +456,7 @@
         if body is None:
             return message.index - 1
         if log.holds(message.index):
-            shared.cut(message.index)
+            shared.truncate(message.index)
         try:
             shared.append(Entry(message.of, message.sort, message.ident, body))
         except ValueError:
@@ -448,41 +466,45 @@
 
     def on_appended(self, now: int, message: Message) -> None:
         if message.term > self.term:
-            self._follow(now, message.term, None)
+            self._enter_term(now, message.term, None)
             return
         lead = self.lead
         if lead is None or message.term < self.term or message.sender not in lead.progress:
             return
-        p = lead.progress[message.sender]
-        p.heard, p.retiring = now, bool(message.flags & RETIRING)
-        p.acked = max(p.acked, message.token)
-        p.flight = max(0, p.flight - 1)
-        p.part = (message.index + 1, message.offset)
-        if p.part[0] == p.next:
-            p.offset = max(p.offset, message.offset)
+        progress = lead.progress[message.sender]
+        progress.heard_at, progress.retiring = now, bool(message.flags & RETIRING)
+        progress.acked_round = max(progress.acked_round, message.token)
+        progress.flight = max(0, progress.flight - 1)
+        progress.partial = (message.index + 1, message.offset)
+        if progress.partial[0] == progress.next:
+            progress.offset = max(progress.offset, message.offset)
         if message.flags & YES:
-            if message.index > p.match:
-                p.match, p.proved = message.index, lead.round
-                p.next, p.offset = (p.next, p.offset) if p.next > p.match else (p.match + 1, 0)
-        elif message.index < p.match and message.token > p.proved:
-            p.broken = True  # asked after it had said so, it has it no more
-        elif message.index < p.next:
-            p.next, p.flight = max(message.index, p.match) + 1, 0
-            p.offset = p.part[1] if p.part[0] == p.next else 0
-        self._confirm(now)
+            if message.index > progress.match:
+                progress.match, progress.match_round = message.index, lead.round
+                progress.next, progress.offset = (
+                    (progress.next, progress.offset)
+                    if progress.next > progress.match
+                    else (progress.match + 1, 0)
+                )
+        elif message.index < progress.match and message.token > progress.match_round:
+            progress.lost_entries = True  # asked after it had said so, it has it no more
+        elif message.index < progress.next:
+            progress.next, progress.flight = max(message.index, progress.match) + 1, 0
+            progress.offset = progress.partial[1] if progress.partial[0] == progress.next else 0
+        self._confirm_rounds(now)
         self.commit(now)
         if message.sender in self.seats.all and self.lead is not None:
-            self.feed(now, message.sender)
+            self.send_entries(now, message.sender)
 
-    def _confirm(self, now: int) -> None:
+    def _confirm_rounds(self, now: int) -> None:
         """Which of its rounds a majority has answered."""
         lead, me = self.lead, self.shared.me
         assert lead is not None
-        for number in sorted((n for n in lead.sent if n > lead.confirmed), reverse=True):
-            if self.seats.quorum(lambda s, n=number: s == me or lead.progress[s].acked >= n):  # type: ignore[misc]
+        for number in sorted((n for n in lead.unconfirmed if n > lead.confirmed), reverse=True):
+            if self.seats.quorum(lambda s, n=number: s == me or lead.progress[s].acked_round >= n):  # type: ignore[misc]
                 lead.confirmed = number
-                lead.confirmed_at, lead.confirmed_commit = lead.sent[number]
-                lead.sent = {n: at for n, at in lead.sent.items() if n > number}
+                lead.confirmed_at, lead.confirmed_commit = lead.unconfirmed[number]
+                lead.unconfirmed = {n: at for n, at in lead.unconfirmed.items() if n > number}
                 return
 
     def settled(self) -> bool:
@@ -494,92 +516,102 @@
         lead, shared = self.lead, self.shared
         if lead is None:
             return
-        index = self.seats.agreed(self._has)
+        index = self.seats.quorum_index(self._match_index)
         if index >= lead.first and index > shared.commit:
             shared.advance(index)
             self._after_commit(now)
 
-    def _has(self, seat: Seat) -> int:
+    def _match_index(self, seat: Seat) -> int:
         """Up to where."""
         assert self.lead is not None
         if seat == self.shared.me:
-            return self.shared.kept()
+            return self.shared.durable_index()
         progress = self.lead.progress[seat]
-        return 0 if progress.broken else progress.match
+        return 0 if progress.lost_entries else progress.match
 
     def _after_commit(self, now: int) -> None:
         shared = self.shared
-        decided = shared.commit >= shared.log.seats_index
-        if self.seats.joint and decided:
-            self.propose(now, Entry(self.term, Sort.SEATS, 0, pack_seats(self.seats.over())))
-        elif shared.me not in self.seats.all and decided:
+        seats_committed = shared.commit >= shared.log.seats_index
+        if self.seats.joint and seats_committed:
+            self.propose(now, Entry(self.term, Sort.SEATS, 0, pack_seats(self.seats.after_joint())))
+        elif shared.me not in self.seats.all and seats_committed:
             self.broadcast(now)  # the others hear that it is committed before this one is none of them
             self._become(Role.LEARNER)
         else:
-            self.soon(now)
+            self.request_round(now)
 
     # ---- seats ----
 
-    def _upkeep(self, now: int) -> None:
+    def _maintain_seats(self, now: int) -> None:
         """Ask those who might take a seat, and change one where that is called for."""
         lead, shared = self.lead, self.shared
         assert lead is not None
-        beat, wanted = shared.options.beat, shared.log.base.wanted
-        lost = [
+        beat, target = shared.options.beat, shared.log.base.wanted
+        unresponsive = [
             s
             for s in self.seats.now
-            if s != shared.me and (lead.progress[s].broken or now - lead.progress[s].heard > 2 * beat)
+            if s != shared.me
+            and (lead.progress[s].lost_entries or now - lead.progress[s].heard_at > 2 * beat)
         ]
         leaving = [s for s in self.seats.now if s != shared.me and lead.progress[s].retiring]
-        ask = [n for n, _ in lost]
-        if len(self.seats.now) < wanted or leaving or any(self._gone(now, s) for s in lost):
-            ask += shared.some(4, [n for n, _ in self.seats.now])
-        for number in ask:
+        queried = [n for n, _ in unresponsive]
+        if len(self.seats.now) < target or leaving or any(self._should_replace(now, s) for s in unresponsive):
+            queried += shared.random_members(4, [n for n, _ in self.seats.now])
+        for number in queried:
             token = shared.rng.getrandbits(32) or 1
-            lead.asked[token] = (number, now)
+            lead.status_queries[token] = (number, now)
             shared.send(
-                now, CARE, number, Kind.ASK, self.term, flags=self._flags(), token=token, index=shared.commit
+                now,
+                MAINTENANCE,
+                number,
+                Kind.ASK,
+                self.term,
+                flags=self._flags(),
+                token=token,
+                index=shared.commit,
             )
-        for token in [t for t, (_, at) in lead.asked.items() if now - at > 10 * beat]:
-            del lead.asked[token]
+        for token in [t for t, (_, at) in lead.status_queries.items() if now - at > 10 * beat]:
+            del lead.status_queries[token]
         if not self.settled() or self.seats.joint or shared.commit < shared.log.seats_index:
             return
         change = next_change(
             self.seats,
-            wanted,
+            target,
             shared.me,
-            lead.seen,
+            lead.member_status,
             lambda n, seen: (
                 now - seen.at < 10 * beat
-                and shared.commit - seen.index <= BEHIND
+                and shared.commit - seen.index <= MAX_LAG
                 and not seen.flags & RETIRING
             ),
-            lambda s: s != shared.me and self._gone(now, s),
+            lambda s: s != shared.me and self._should_replace(now, s),
             lambda s: s != shared.me and lead.progress[s].retiring,
             sorted(shared.alive),
         )
         if change is not None:
-            self.propose(now, Entry(self.term, Sort.SEATS, 0, pack_seats(self.seats.change(*change))))
+            self.propose(now, Entry(self.term, Sort.SEATS, 0, pack_seats(self.seats.joint_change(*change))))
 
-    def _gone(self, now: int, seat: Seat) -> bool:
+    def _should_replace(self, now: int, seat: Seat) -> bool:
         assert self.lead is not None
         progress = self.lead.progress[seat]
-        return progress.broken or now - progress.heard > self.shared.options.replace
+        return progress.lost_entries or now - progress.heard_at > self.shared.options.replace
 
-    def on_seen(self, message: Message) -> None:
+    def on_status(self, message: Message) -> None:
         """An answer to a question of the leader: who is there now."""
-        if self.lead is None or message.token not in self.lead.asked:
+        if self.lead is None or message.token not in self.lead.status_queries:
             return
-        number, at = self.lead.asked.pop(message.token)
+        number, at = self.lead.status_queries.pop(message.token)
         if number == message.sender[0]:
-            self.lead.seen[number] = Seen(message.sender[1], message.commit, at, message.flags)
+            self.lead.member_status[number] = MemberStatus(
+                message.sender[1], message.commit, at, message.flags
+            )
 
     def propose(self, now: int, entry: Entry) -> None:
         """A leader's own log grows."""
         self.shared.append(entry)
         assert self.lead is not None
         for seat in sorted(self.seats.all):
-            self._meet(now, seat)
+            self._track(now, seat)
             if seat != self.shared.me:
-                self.feed(now, seat)
+                self.send_entries(now, seat)
         self.commit(now)
--- a/dykeshift/agree/wire.py
+++ b/dykeshift/agree/wire.py
@@ -25,8 +25,8 @@
 
 from dykeshift.view.wire import MOST, SEAL, VERSION, Bad, Seal, unseal
 
-HEAD = struct.Struct(">BBHHIHIHII")
-BEHIND = 64  # kinds from here on are those of what is built on the agreement
+HEADER = struct.Struct(">BBHHIHIHII")
+NEXT_LAYER_KIND = 64  # kinds from here on are those of what is built on the agreement
 NO_NUMBER = 0xFFFF  # of a process that was told none: it never has a seat
 NO_AGE = 0xFFFFFFFF
 
@@ -54,8 +54,8 @@
 
 
 # flags: knows no history; leaves; has a disk; end of a burst
-BLANK, RETIRING, KEPT, LAST, YES = 1, 2, 4, 8, 16
-LOST = 32  # a flag: the receiver lacks what it said it had, and has to take another birth
+BLANK, RETIRING, HAS_DISK, END_OF_BURST, YES = 1, 2, 4, 8, 16
+LOST_ENTRIES = 32  # a flag: the receiver lacks what it said it had, and has to take another birth
 
 FIELDS: dict[Kind, tuple[struct.Struct, tuple[str, ...]]] = {
     Kind.APPEND: (
@@ -69,7 +69,10 @@
     Kind.VOTED: (struct.Struct(">"), ()),
     Kind.NOW: (struct.Struct(">"), ()),
     Kind.ASK: (struct.Struct(">II"), ("token", "index")),
-    Kind.ANSWER: (struct.Struct(">IIIIQHI"), ("token", "index", "commit", "of", "chain", "number", "birth")),
+    Kind.ANSWER: (
+        struct.Struct(">IIIIQHI"),
+        ("token", "index", "commit", "of", "chain", "number", "birth"),
+    ),
     Kind.FETCH: (struct.Struct(">IIII"), ("index", "offset", "prev", "length")),
     Kind.PIECE: (
         struct.Struct(">IIIBQIIQ"),
@@ -82,7 +85,7 @@
     Kind.READY: (struct.Struct(">II"), ("token", "index")),
 }
 CHUNKED = (Kind.APPEND, Kind.PIECE, Kind.BASE, Kind.PROPOSE)
-CHUNK = MOST - SEAL - HEAD.size - max(FIELDS[kind][0].size for kind in CHUNKED)  # bytes that always fit
+CHUNK = MOST - SEAL - HEADER.size - max(FIELDS[kind][0].size for kind in CHUNKED)  # bytes that always fit
 
 
 @dataclass(slots=True)
@@ -113,7 +116,7 @@
 
 def encode(message: Message, seal: Seal) -> bytes:
     layout, names = FIELDS[message.kind]
-    head = HEAD.pack(
+    head = HEADER.pack(
         VERSION, message.kind, seal.tag, *message.sender, message.flags, *message.epoch, message.term
     )
     data = head + layout.pack(*(getattr(message, name) for name in names)) + message.chunk
@@ -125,16 +128,16 @@
 def is_ours(data: bytes) -> bool:
     """Whether a datagram on the balancers' port is of the agreement; before are the view's kinds, behind
     others'."""
-    return len(data) > 1 and Kind.APPEND <= data[1] < BEHIND
+    return len(data) > 1 and Kind.APPEND <= data[1] < NEXT_LAYER_KIND
 
 
 def decode(data: bytes, seal: Seal) -> Message:
     """Raises Bad for whatever is no message of this fleet."""
-    kind, number, birth, flags, history, epoch, founder, term = unseal(data, seal, HEAD, HEAD.size)
+    kind, number, birth, flags, history, epoch, founder, term = unseal(data, seal, HEADER, HEADER.size)
     try:
         known = Kind(kind)
         layout, names = FIELDS[known]
-        values = layout.unpack_from(data[:-SEAL], HEAD.size)
+        values = layout.unpack_from(data[:-SEAL], HEADER.size)
     except (ValueError, struct.error):
         raise Bad("form") from None
     message = Message(
@@ -146,7 +149,7 @@
         **dict(zip(names, values, strict=True)),
     )
     if known in CHUNKED:
-        message.chunk = data[HEAD.size + layout.size : -SEAL]
+        message.chunk = data[HEADER.size + layout.size : -SEAL]
         if message.offset + len(message.chunk) > message.length:
             raise Bad("form")
     return message
--- a/tests/agree/defects.py
+++ b/tests/agree/defects.py
@@ -39,16 +39,16 @@
     self.stand(now)
 
 
-def _lease_from_the_answer(self: spread.Spread, now: int, message: Message, address: Address) -> None:
-    if message.token in self.questions:
-        self.questions[message.token] = now
+def _lease_from_the_answer(self: spread.Dissemination, now: int, message: Message, address: Address) -> None:
+    if message.token in self.queries:
+        self.queries[message.token] = now
     _on_answer(self, now, message, address)
 
 
-_on_answer = spread.Spread.on_answer
+_on_answer = spread.Dissemination.on_answer
 
 
-def _lease_without_age(self: spread.Spread, now: int) -> int:
+def _lease_without_age(self: spread.Dissemination, now: int) -> int:
     return 0
 
 
@@ -74,7 +74,7 @@
     return _take(self, now, ident, self.shared.log.version, body, address)
 
 
-_take = proposals.Proposals._take
+_take = proposals.Proposals._append
 
 
 def _counts_what_is_not_kept(self: state.Shared) -> int:
@@ -103,8 +103,8 @@
 
 def _reads_alone(self: proposals.Proposals, now: int, token: int, address: Address | None) -> None:
     if self.voter.lead is not None:
-        self.waiting.append(proposals.Waiting(0, self.shared.commit, token, address))
-        self.confirm(now)
+        self.unconfirmed_reads.append(proposals.UnconfirmedRead(0, self.shared.commit, token, address))
+        self.answer_confirmed_reads(now)
 
 
 def _not_its_own(self: log.Log, ident: int, commit: int) -> int | None:
@@ -144,26 +144,26 @@
         _follow(self, now, message, address)
 
 
-_follow = core.Agree._follow
+_follow = core.Agree._on_later_epoch
 
 DEFECTS: dict[str, Undo] = {
     "vote not kept": _patch(voting.Voter, "on_vote", _forgets_its_vote),
     "an old term's entry committed by counting": _patch(voting.Voter, "commit", _counts_old_terms),
-    "no vote before the vote": _patch(voting.Voter, "_ask_before", _stands_at_once),
-    "lease from the answer's arrival": _patch(spread.Spread, "on_answer", _lease_from_the_answer),
-    "lease without the age of what it stands on": _patch(spread.Spread, "_age", _lease_without_age),
+    "no vote before the vote": _patch(voting.Voter, "_start_prevote", _stands_at_once),
+    "lease from the answer's arrival": _patch(spread.Dissemination, "on_answer", _lease_from_the_answer),
+    "lease without the age of what it stands on": _patch(spread.Dissemination, "_age", _lease_without_age),
     "back from nothing under the same birth": _patch(core.Agree, "__init__", _same_birth),
     "shown before it is whole": _patch(pieces.Assembly, "add", _early),
-    "expected version not checked": _patch(proposals.Proposals, "_take", _any_version),
-    "own copy counted before it is kept": _patch(state.Shared, "kept", _counts_what_is_not_kept),
+    "expected version not checked": _patch(proposals.Proposals, "_append", _any_version),
+    "own copy counted before it is kept": _patch(state.Shared, "durable_index", _counts_what_is_not_kept),
     "joint stage counts the new seats alone": _both(
-        _patch(seats.Seats, "quorum", _new_ones_alone), _patch(seats.Seats, "agreed", _new_ones_have)
+        _patch(seats.Seats, "quorum", _new_ones_alone), _patch(seats.Seats, "quorum_index", _new_ones_have)
     ),
-    "a vote for a shorter log": _patch(voting.Voter, "_current", _votes_for_anybody),
-    "a read without a round": _patch(proposals.Proposals, "_wait", _reads_alone),
-    "a proposal not known again": _patch(log.Log, "committed_as", _not_its_own),
+    "a vote for a shorter log": _patch(voting.Voter, "_log_up_to_date", _votes_for_anybody),
+    "a read without a round": _patch(proposals.Proposals, "_register_read", _reads_alone),
+    "a proposal not known again": _patch(log.Log, "committed_version", _not_its_own),
     "a spoilt file read on": _patch(agreement.Peer, "_recover", _reads_on),
     "one less than a majority": _patch(seats, "majority", _one_less),
     "said before it is kept": _patch(agreement.Peer, "_through", _sends_first),
-    "an old epoch goes on": _patch(core.Agree, "_follow", _never_fenced),
+    "an old epoch goes on": _patch(core.Agree, "_on_later_epoch", _never_fenced),
 }
--- a/tests/agree/test_agree.py
+++ b/tests/agree/test_agree.py
@@ -170,7 +170,9 @@
     for n in seats[:4]:
         world.kill(world.spots[n])
     world.groups = []
-    world.core(behind).spread.hear(world.spots[behind].clock(), world.core(behind).shared.epoch, 99, ("", 0))
+    world.core(behind).spread.note_commit(
+        world.spots[behind].clock(), world.core(behind).shared.epoch, 99, ("", 0)
+    )
     world.run(3)
     assert "in reach has entry" in world.rescue(behind)
 
@@ -380,7 +382,7 @@
     world = begun(19, 5, Options(voters=3, lease=10 * SECOND, drift=0.0))
     core = world.core(next(n for n in range(5) if n not in voters(world)))
     spread, now = core.spread, 1000 * SECOND
-    spread.questions[77] = now
+    spread.queries[77] = now
     told = Message(
         Kind.ANSWER,
         (0, 1),
--- a/tests/agree/test_parts.py
+++ b/tests/agree/test_parts.py
@@ -87,7 +87,7 @@
 
 def test_any_two_majorities_of_a_change_have_somebody_in_common() -> None:
     now = seats.Seats(tuple((n, 1) for n in range(5)))
-    stages = [now, now.change((0, 1), (0, 2)), now.change((0, 1), (0, 2)).over()]
+    stages = [now, now.joint_change((0, 1), (0, 2)), now.joint_change((0, 1), (0, 2)).after_joint()]
     everybody = sorted(frozenset().union(*(s.all for s in stages)))
     for one, other in zip(stages, stages[1:], strict=False):
         for bits in range(1 << len(everybody)):
@@ -95,7 +95,7 @@
             if one.quorum(lambda s, y=yes: s in y):  # type: ignore[misc]
                 assert not other.quorum(lambda s, y=yes: s not in y)  # type: ignore[misc]
             has = {s: int(s in yes) for s in everybody}
-            assert one.agreed(has.__getitem__) == int(one.quorum(lambda s, y=yes: s in y))  # type: ignore[misc]
+            assert one.quorum_index(has.__getitem__) == int(one.quorum(lambda s, y=yes: s in y))  # type: ignore[misc]
 
 
 @pytest.mark.parametrize(
@@ -125,8 +125,8 @@
             whole.term_at(index),
             whole.version_at(index),
         )
-    assert [rest.committed_as(n, 15) for n in (3, 14, 18)] == [3, 14, None]
-    whole.begin_at(base)
+    assert [rest.committed_version(n, 15) for n in (3, 14, 18)] == [3, 14, None]
+    whole.reset_to_base(base)
     assert (whole.last, whole.chain_at(20)) == (20, rest.chain_at(20))
     with pytest.raises(ValueError):
         rest.append(Entry(1, Sort.SEATS, 0, b"no seats"))
@@ -209,7 +209,7 @@
         while waiting:
             waiting.pop(0)(True)
         assert len(sent) == 1
-        core.shared.keep("vote", 9, None)
+        core.shared.persist("vote", 9, None)
         core.shared.send(runner.now(), 0, ("127.0.0.1", 2), Kind.ASK)
         runner.carry(core.on_timer(runner.now()))
         birth = core.shared.birth
@@ -226,7 +226,7 @@
     log.append(Entry(1, Sort.SEATS, 0, pack_seats(seats.Seats(((0, 1), (1, 1)), ((0, 1),)))))
     log.append(Entry(1, Sort.SEATS, 0, pack_seats(seats.Seats(((0, 1), (1, 1))))))
     assert not log.seats.joint and log.base_at(1, b"").seats.joint
-    log.cut(2)
+    log.truncate(2)
     assert log.seats.joint and log.seats_index == 1
-    log.cut(1)
+    log.truncate(1)
     assert log.seats.now == ((0, 1),)
