--- a/dykeshift/agree/core.py
+++ b/dykeshift/agree/core.py
@@ -1,19 +1,25 @@
-"""The agreement of one balancer: time and datagrams in; datagrams, records to keep and events out.
-
-The parts: `voting` (elections, replication), `spread` (committed entries to everybody, leases), `proposals`
-(proposals and reads); here: which history and epoch this process belongs to, and what it is handed.
-
-A *history* begins once, when all places of the roster say that they know none (or by hand). An *epoch* of it
-begins by hand, when too many voters are lost for a majority: with what the process that is told to has.
-Who hears of a later epoch stops acting in its own at once (it is *fenced*) until it has fetched the new
-one's base: so nothing that is left of the old one can commit once it has heard; and what is known lost is
-said. Another history under the same name is never joined, except by who knows none.
-
-Promises that hold at every instant, beside those of the parts:
- 1. Nothing half received is shown; events come in the order of versions, each once in a process's life,
-    or by the state up to a version (`installed`).
- 2. A process that is not sure of what it promised promises nothing under that birth again.
- 3. Bytes and datagrams a second never exceed the budget.
+"""The consensus node of one balancer: time and datagrams in; datagrams, records to persist and events out.
+
+Its parts are `voting` (elections, replication), `spread` (dissemination of committed entries, leases) and
+`proposals` (proposals and reads). This module decides to which history and epoch the process belongs, and
+dispatches its input.
+
+A *history* is one replicated log. It starts once, when all places of the roster report that they know none
+(such a process is *blank*), or by an operator's command. A new *epoch* of it starts by an operator's command,
+when too many voters are lost for a quorum, from the log of the process that gets the command. A process that
+hears of a later epoch is *fenced*: it stops acting in its own at once, until it has fetched the base of the
+new one. So what is left of the old epoch can commit nothing once it has heard; and versions known to be lost
+are reported. A process that belongs to a history never joins another one of the same fleet name.
+
+An *incarnation* (`birth`) is a random number that identifies a process together with its number. A process
+keeps it while it knows every vote and acknowledgement that it gave, and draws another one otherwise.
+
+Invariants, beside those of the parts:
+ 1. Nothing is exposed before it has arrived completely. Events come in the order of versions, each once in
+    the life of a process, or as the state up to a version (`installed`).
+ 2. A process that cannot be sure which votes and acknowledgements it gave gives none under that incarnation
+    again.
+ 3. Bytes and datagrams per second never exceed the budget.
 """
 
 from __future__ import annotations
@@ -33,17 +39,22 @@
 from dykeshift.view.table import Address
 from dykeshift.view.wire import Bad, Seal
 
-TICKS_PER_HEARTBEAT = 2  # times in a beat that everybody looks round
-STALL_HEARTBEATS = 5  # beats that a process may be late before it counts as having stood still
-HANDOVER_HEARTBEATS = 10  # beats that a process which ends waits for another to have its seat
-MAX_FOREIGN_HISTORIES = 16  # others under this fleet's name that are remembered
+TICKS_PER_HEARTBEAT = 2  # periodic work runs this often per heartbeat interval
+STALL_HEARTBEATS = 5  # a process whose timer is later than this counts as suspended
+HANDOVER_HEARTBEATS = 10  # a leaving process waits at most this long for its seat to be taken
+MAX_FOREIGN_HISTORIES = 16  # foreign histories that are remembered, so that each is reported once
 
 
 class No(Exception):
-    """It was not done; the text says why, in one line."""
+    """A rescue was refused; the text gives the reason in one line."""
 
 
 class Agree:
+    """A consensus node without I/O.
+
+    The host passes in time and datagrams, and sends and persists the output.
+    """
+
     def __init__(
         self,
         options: Options,
@@ -54,24 +65,26 @@
         machine: Machine | None = None,
         disk: bool = False,
     ) -> None:
-        """`places`: where each number of the roster lives, its own too. `disk`: whether records are kept."""
+        """`places`: the address of each number of the roster, its own too.
+
+        `disk`: whether records are kept.
+        """
         self.shared = Shared(options, seal, number, places, rng, machine or Latest(), disk)
         self.voter = Voter(self.shared)
         self.spread = Dissemination(self.shared, self.voter)
         self.proposals = Proposals(self.shared, self.voter)
         self.options = options
         self.next_at = 0
-        self.blank_incarnations: dict[
-            int, int
-        ] = {}  # numbers that said they know no history, and their births
-        self.previous_blank_births: dict[int, int] = {}  # the same, as it was once all had said so
-        self.blank_round_at = 0  # when that was
+        self.blank_incarnations: dict[int, int] = {}  # numbers that reported to be blank: incarnation
+        self.previous_blank_incarnations: dict[int, int] = {}  # the same, of the last complete round
+        self.blank_round_at = 0  # when that round was complete
         self.foreign_histories: set[int] = set()
         self.handover_deadline = 0
 
-    # ---- what the host calls ----
+    # ---- called by the host ----
 
     def start(self, now: int) -> Out:
+        """To be called once, before any other input."""
         self.shared.budget.at = now
         self.next_at = now
         self.voter.reset_election_timer(now)
@@ -91,6 +104,7 @@
         return self._collect_output(now)
 
     def on_datagram(self, now: int, data: bytes, address: Address) -> Out:
+        """Take a datagram of this protocol."""
         self._notice_stall(now)
         try:
             message = decode(data, self.shared.seal)
@@ -104,19 +118,19 @@
         return self._collect_output(now)
 
     def on_roster(self, alive: set[int], places: dict[int, Address]) -> None:
-        """Who is believed alive, by number, and where numbers live that were told no place."""
+        """Set who is believed alive, by number, and addresses of numbers that have none yet."""
         self.shared.alive = set(alive)
         self.shared.places = {**places, **self.shared.places}
 
     def on_kept(self, now: int, number: int) -> Out:
-        """The first `number` records last."""
+        """The first `number` records are durable."""
         self.shared.on_persisted(number)
         self.voter.count_votes(now, number)
         self.voter.commit(now)
         return self._collect_output(now)
 
     def on_disk_failed(self, now: int) -> Out:
-        """The disk has failed: nobody knows what it holds. What this process goes on with is in memory."""
+        """The disk has failed and its content is unknown: go on in memory, under a new incarnation."""
         shared = self.shared
         shared.disk = False
         shared.records.clear()
@@ -127,49 +141,57 @@
     def propose(
         self, now: int, body: bytes, expect: int, wait: int, ident: int | None = None
     ) -> tuple[int, Out]:
-        """Its ident; the answer comes with `take_answers`, within `wait` nanoseconds."""
+        """Propose a change.
+
+        Returns its ident; the answer comes with `take_answers`, within `wait` nanoseconds.
+        """
         self._notice_stall(now)
         number = self.shared.rng.getrandbits(64) or 1 if ident is None else ident
         self.proposals.propose(now, body, expect, wait, number)
         return number, self._collect_output(now)
 
     def read(self, now: int, wait: int) -> tuple[int, Out]:
-        """Its token; the version comes with `take_results`, None where it can't be said."""
+        """Start a linearizable read.
+
+        Returns its token; `take_results` gives the version, or None if no quorum confirmed it in time.
+        """
         self._notice_stall(now)
         token = self.shared.rng.getrandbits(32) or 1
         self.proposals.read(now, wait, token)
         return token, self._collect_output(now)
 
     def outcome(self, ident: int, expect: int) -> Answer:
-        """What became of a proposal that was not known, as far as this process knows."""
+        """What became of a proposal that was answered with "not known", as far as this process knows."""
         return self.proposals.outcome(ident, expect)
 
     def retire(self, now: int) -> Out:
-        """The process will end: another is to have its seat, and to lead."""
+        """Prepare for the end of the process: offer its seat, and leadership, to others."""
         self.shared.retiring, self.handover_deadline = True, now + HANDOVER_HEARTBEATS * self.options.beat
         self.voter.transfer_leadership(now)
         return self._collect_output(now)
 
     def handing_over(self, now: int) -> bool:
-        """Whether it is worth staying a moment: its seat is not another's yet."""
+        """Whether to delay the end of the process, as no other has taken its seat yet."""
         return self.shared.retiring and self.voter.seated() and now < self.handover_deadline
 
     def rescue(self, now: int, voters: int | None = None, force: bool = False) -> Out:
-        """Go on alone, with all of the log here, in a new epoch; other seats are filled from who answers.
+        """Go on alone with the whole log of this process, in a new epoch.
 
-        What is not known to be committed may be: after a restart from a disk nothing is known until a leader
-        has spoken. So a proposal whose answer was "not known" may be committed by it.
+        The other seats are filled from processes that answer. Entries that are not known to be committed are
+        taken as committed; after a restart from disk none is known to be until a leader has been heard. So a
+        proposal that was answered with "not known" may be committed by this.
 
-        No: the history is well, or somebody in reach has more committed; `force` does it nevertheless.
+        Raises No if the history has a live leader or a reachable process has committed more; `force`
+        overrides both.
         """
         shared, voter = self.shared, self.voter
         if shared.number == NO_NUMBER:
-            raise No("this balancer was told no number, and cannot vote")
+            raise No("this balancer has no number and cannot vote")
         if not force and voter.leader is not None and voter.trusts_leader(now):
-            raise No(f"the history is well: number {voter.leader[0]} leads it")
+            raise No(f"the history has a live leader: number {voter.leader[0]}")
         most_committed, heard_at = self.spread.most_committed
         if not force and most_committed > shared.commit and now - heard_at <= self.options.lease:
-            raise No(f"somebody in reach has entry {most_committed}, this balancer has {shared.commit}")
+            raise No(f"a balancer in reach has entry {most_committed}, this one has {shared.commit}")
         target = voters or shared.log.base.wanted or self.options.voters
         number = max(shared.epoch[1], shared.latest_epoch[1]) + 1
         history = shared.epoch[0] or shared.rng.getrandbits(32) or 1
@@ -184,24 +206,27 @@
         return self._collect_output(now)
 
     def take_events(self) -> list[Event]:
+        """The events since the last call, in order."""
         events, self.shared.events = self.shared.events, []
         return events
 
     def take_records(self) -> list[Record]:
-        """To be kept, in order, before anything that was handed out since is sent."""
+        """Records to persist, in order, before any datagram that was returned since is sent."""
         records, self.shared.records = self.shared.records, []
         return records
 
     def take_answers(self) -> dict[int, Answer]:
+        """Answers to proposals, by ident, since the last call."""
         answers, self.proposals.answers = self.proposals.answers, {}
         return answers
 
     def take_results(self) -> dict[int, int | None]:
+        """Versions of reads, by token, since the last call; None: no quorum confirmed it."""
         results, self.proposals.read_results = self.proposals.read_results, {}
         return results
 
     def restore(self, state: Kept) -> None:
-        """What a disk held of a whole life, before `start`: it goes on under its birth."""
+        """Take over the durable state from disk, before `start`; the incarnation stays the same."""
         shared, base = self.shared, state.log.base
         shared.epoch, shared.birth, shared.latest_epoch = state.epoch, state.birth, state.heard
         shared.log, shared.commit = state.log, base.index
@@ -211,16 +236,16 @@
             shared.emit("installed", version=base.version, body=base.state)
 
     def adopt(self, now: int, epoch: Epoch, base: Base) -> Out:
-        """Belong to an epoch whose base was handed over otherwise than by datagrams, after `start`."""
+        """Join an epoch whose base was received otherwise than by datagrams, after `start`."""
         self._enter(now, epoch, base)
         return self._collect_output(now)
 
     def life(self) -> Kept:
-        """All that a disk has to hold of this life."""
+        """All state that has to be durable."""
         shared, voter = self.shared, self.voter
         return Kept(shared.epoch, shared.birth, voter.term, voter.vote, shared.log, shared.latest_epoch)
 
-    # ---- inside ----
+    # ---- internals ----
 
     def _collect_output(self, now: int) -> Out:
         shared = self.shared
@@ -245,10 +270,11 @@
         self.proposals.on_tick(now)
 
     def _try_start_history(self, now: int) -> None:
-        """The first voter of the roster begins the history, once all places said twice that they know none.
+        """Start the history once every place of the roster has reported twice that it is blank.
 
-        A process that knew none and knows one does not forget it under its birth; so who says so a second
-        time, under the same birth, knew none when the last one had said so the first time: nobody did then.
+        This is done by the first voter of the roster. A process that has learned of a history does not forget
+        it under the same incarnation. So a process that reports twice under one incarnation was still blank
+        when the last one reported for the first time: at that moment all of them were.
         """
         shared = self.shared
         numbers = drawn(self.options.voters, len(shared.places))
@@ -259,8 +285,8 @@
             for number in missing[:4]:
                 self.spread.query(now, number)
             return
-        if self.blank_incarnations != self.previous_blank_births:
-            self.previous_blank_births, self.blank_incarnations, self.blank_round_at = (
+        if self.blank_incarnations != self.previous_blank_incarnations:
+            self.previous_blank_incarnations, self.blank_incarnations, self.blank_round_at = (
                 self.blank_incarnations,
                 {},
                 now,
@@ -274,7 +300,7 @@
         self._start_epoch(now, epoch, Base(wanted=len(numbers), now=seats))
 
     def _unconfirmed_places(self) -> list[int]:
-        """Places that have not said that they know no history."""
+        """Places that have not reported to be blank."""
         return sorted(
             n for n in self.shared.places if n != self.shared.number and n not in self.blank_incarnations
         )
@@ -284,12 +310,14 @@
         self.shared.emit("founded", version=base.version, text=f"epoch {epoch[1]}")
 
     def _enter(self, now: int, epoch: Epoch, base: Base) -> None:
-        """Belong to an epoch, from its base on."""
+        """Join an epoch, starting from its base."""
         shared = self.shared
         version = shared.log.version_at(shared.commit)
         if version > base.version:
             shared.emit(
-                "lost", version=base.version, text=f"versions {base.version + 1} to {version} of before"
+                "lost",
+                version=base.version,
+                text=f"versions {base.version + 1} to {version} of the old epoch",
             )
         known = shared.commit == base.index and shared.log.chain_at(base.index) == base.chain
         shared.epoch, shared.log = epoch, Log(base)
@@ -300,7 +328,7 @@
         self.blank_incarnations.clear()
 
     def _change_incarnation(self, now: int) -> None:
-        """Another birth: nothing is promised under it. What is committed stays."""
+        """Draw another incarnation, which has promised nothing. Committed entries stay."""
         shared = self.shared
         if shared.log.last > shared.commit:
             shared.truncate(shared.commit + 1)
@@ -319,12 +347,12 @@
             elif message.epoch[1:] > shared.epoch[1:]:
                 self._on_later_epoch(now, message, address)
             elif message.kind is not Kind.ANSWER and not shared.fenced:
-                self.spread.send_status(now, address, 0)  # it belongs to an earlier epoch, and is to know
+                self.spread.send_status(now, address, 0)  # tells the sender that its epoch is superseded
         else:
             self._on_foreign_history(message)
 
     def _receive_from_blank(self, now: int, message: Message, address: Address) -> None:
-        """From one that knows no history."""
+        """Handle a message from a process that knows no history."""
         if message.kind is Kind.ASK:
             self.spread.on_ask(now, message, address)
         elif message.kind is Kind.ANSWER:
@@ -338,7 +366,7 @@
                 self.blank_incarnations[message.sender[0]] = message.sender[1]
 
     def _on_later_epoch(self, now: int, message: Message, address: Address) -> None:
-        """A later epoch than this process's own, or the first that it hears of."""
+        """Handle a message of a later epoch, or of the first one that this process hears of."""
         shared, was_active = self.shared, not self.shared.fenced
         if not shared.blank and message.epoch[1:] > shared.latest_epoch[1:]:
             shared.note_epoch(message.epoch)
@@ -372,7 +400,10 @@
         self.spread.note_commit(now, message.epoch, message.commit, address)
 
     def _on_transfer(self, now: int, message: Message, address: Address) -> None:
-        """Not before a leader has seen what a voter brings from its disk."""
+        """Take a chunk of an entry or a base.
+
+        A voter back from its disk takes none until a leader has verified its log.
+        """
         if self.voter.log_check_ticks and self.voter.seated():
             return
         if message.kind is Kind.PIECE:
@@ -391,10 +422,14 @@
                 self.shared.emit("leader", text=str(leader[0]))
         self.spread.on_answer(now, message, address)
 
-    # ---- what is told ----
+    # ---- status ----
 
     def summary(self, now: int) -> dict[str, Any]:
-        """For the console. Versions count changes, entries everything; seconds; hexadecimal digests."""
+        """Status for the console.
+
+        Versions count changes, entries count everything in the log; times are in seconds, digests
+        hexadecimal.
+        """
         shared, voter, log = self.shared, self.voter, self.shared.log
         version = log.version_at(shared.commit)
         role = "blank" if shared.blank else "fenced" if shared.fenced else voter.role.name.lower()
--- a/dykeshift/agree/keep.py
+++ b/dykeshift/agree/keep.py
@@ -1,8 +1,9 @@
-"""What a voter with a disk keeps: its records as payloads of the project's log, and what a log file is worth.
+"""Persistence of a voter: its records as payloads of the project's log file, and the validity of such a file.
 
-A torn tail is what was never synced, so nobody was told of it: the process goes on under its birth. A hole is
-a record that was synced and is lost: what it promised is no longer known. Such a process takes another birth
-and keeps nothing of the file but that it was there; its seat comes back by a majority of the others.
+A torn tail was never synced, so no message depends on it: the process goes on under its incarnation. A hole
+is a record that was synced and is lost, so it is no longer known which votes and acknowledgements were given.
+Such a process takes another incarnation and uses nothing of the file but the fact that it existed; it gets a
+seat again through a majority of the others.
 """
 
 from __future__ import annotations
@@ -16,26 +17,27 @@
 from dykeshift.agree.state import NO_EPOCH, Record
 from dykeshift.agree.wire import Epoch, Seat
 
-KIND = b"AG"  # of the log's payloads
+KIND = b"AG"  # kind of the payloads in the log file
 
 
 class Spoilt(Exception):
-    """The payloads are no whole life of a voter; the text says why."""
+    """The payloads are not the complete records of a voter; the text gives the reason."""
 
 
 @dataclass(slots=True)
 class Kept:
-    """A life as a disk holds it."""
+    """The durable state of a voter."""
 
     epoch: Epoch
     birth: int
     term: int
     vote: Seat | None
     log: Log
-    heard: Epoch = NO_EPOCH  # the latest epoch that it knew of
+    heard: Epoch = NO_EPOCH  # the latest epoch that it has heard of
 
 
 def pack(record: Record) -> bytes:
+    """A record as a payload."""
     kind, *values = record
     if kind == "entry":
         entry: Entry = values[0]
@@ -46,14 +48,17 @@
 
 
 def replay(payloads: list[bytes]) -> Kept | None:
-    """None: nothing was ever kept. Spoilt: these can't have been written in this order."""
+    """The state after these payloads; None: there are none.
+
+    Raises Spoilt if they are not valid in this order.
+    """
     state: Kept | None = None
     for payload in payloads:
         try:
             kind, *rest = msgspec.msgpack.decode(payload)
             state = _apply(state, kind, rest)
         except (msgspec.DecodeError, ValueError, TypeError, IndexError) as exc:
-            raise Spoilt(f"a record is no record: {exc}") from None
+            raise Spoilt(f"invalid record: {exc}") from None
     return state
 
 
@@ -67,7 +72,7 @@
             return Kept(epoch, int(values[1]), 0, None, log, state.heard)
         return state
     if state is None:
-        raise ValueError("it begins in the middle")
+        raise ValueError("the first record is not the identity")
     if kind == "heard":
         state.heard = _parse_epoch(values[0])
     elif kind == "vote":
@@ -79,7 +84,7 @@
     elif kind == "base":
         state.log.reset_to_base(unpack_base(values[0]))
     else:
-        raise ValueError(f"{kind!r} is none")
+        raise ValueError(f"unknown record kind {kind!r}")
     return state
 
 
@@ -89,7 +94,7 @@
 
 
 def whole(state: Kept) -> list[bytes]:
-    """The records that this life comes down to, for a file that is written anew."""
+    """The fewest records that give this state, for a file that is rewritten."""
     records: list[Record] = [
         ("me", state.epoch, state.birth),
         ("heard", state.heard),
@@ -100,5 +105,5 @@
 
 
 def known(state: Kept) -> bool:
-    """Whether it belonged to a history."""
+    """Whether the voter belonged to a history."""
     return state.epoch != NO_EPOCH
--- a/dykeshift/agree/pieces.py
+++ b/dykeshift/agree/pieces.py
@@ -1,23 +1,23 @@
-"""What is longer than a datagram: put together piece by piece, shown only when whole and as its sum says."""
+"""Reassembly of what does not fit into one datagram. It is exposed only when it is complete."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MAX_ASSEMBLED = 1 << 20  # bytes of anything that is put together
+MAX_ASSEMBLED = 1 << 20  # bytes of one reassembled body
 
 
 @dataclass(slots=True)
 class Assembly:
-    """One text in the making: what has arrived from its beginning on, and pieces ahead of that."""
+    """One body under reassembly: the contiguous start, and chunks that arrived out of order."""
 
-    key: tuple[int, ...] = ()  # what it is: a piece of anything else begins anew
+    key: tuple[int, ...] = ()  # identifies the body: a chunk with another key starts over
     length: int = -1
     received: bytearray = field(default_factory=bytearray)
     out_of_order: dict[int, bytes] = field(default_factory=dict)
 
     def add(self, key: tuple[int, ...], length: int, offset: int, chunk: bytes) -> bytes | None:
-        """The whole, where this was the last piece."""
+        """Add a chunk; returns the body if it is complete now."""
         if length > MAX_ASSEMBLED:
             return None
         if (self.key, self.length) != (key, length):
@@ -36,6 +36,7 @@
         return whole
 
     def clear(self) -> None:
+        """Discard everything received."""
         self.key, self.length = (), -1
         self.received.clear()
         self.out_of_order.clear()
--- a/dykeshift/agree/proposals.py
+++ b/dykeshift/agree/proposals.py
@@ -1,9 +1,10 @@
-"""Proposals and reads, at whoever is asked and at the leader.
+"""Proposals and reads, at the process that received them from its client and at the leader.
 
-A proposal names the version that it builds on, and can be committed as the next one only. So it is decided
-once that next version is committed: it is this proposal, or it never will be. Until then its answer is "not
-known", and whoever asks later with its ident learns it from any member. A leader puts a proposal into its log
-once, wherever and however often it comes from; what it can't take now it leaves without an answer.
+A proposal names the version that it builds on, and can be committed only as the next one. So it is decided
+once that next version is committed: either it is this proposal, or the proposal can never be committed. Until
+then its answer is "not known", and any member can tell later, by its ident, what became of it. A leader
+appends a proposal to its log once, however often it arrives and from wherever; it leaves a proposal that it
+cannot append now without an answer.
 """
 
 from __future__ import annotations
@@ -17,18 +18,21 @@
 from dykeshift.agree.wire import CHUNK, YES, Kind, Message
 from dykeshift.view.table import Address
 
-MAX_PENDING = 64  # proposals and reads in the making, of each sort
-LONGEST = 16_384  # bytes of an entry
-MAX_IN_FLIGHT = 8  # pieces of a proposal on the way
-RETRY_HEARTBEATS = 2  # beats until what was not answered is sent again
-RECEIVED, TOO_FEW_VOTERS = 1, 2  # of a proposal: received so far; taken when there are enough voters
+MAX_PENDING = 64  # limit for each: proposals, reads, partly received proposals
+LONGEST = 16_384  # bytes in the body of a proposal
+MAX_IN_FLIGHT = 8  # chunks of a proposal that await an acknowledgement
+RETRY_HEARTBEATS = 2  # heartbeats after which an unanswered request is repeated
+RECEIVED, TOO_FEW_VOTERS = 1, 2  # status in PROPOSED
 
 COMMITTED, REFUSED, UNKNOWN = "committed", "refused", "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """To a proposal: `version` is where it was committed, or what is committed here now."""
+    """The answer to a proposal.
+
+    `version`: where it was committed, or else the version that is committed here now.
+    """
 
     status: str
     version: int
@@ -37,25 +41,29 @@
 
 @dataclass(slots=True)
 class Proposal:
+    """A proposal of a client of this process that is not answered yet."""
+
     body: bytes
-    expect: int
+    expect: int  # the version that it builds on
     deadline: int
     retry_at: int = 0  # when it is sent again
     sent: bool = False
-    acked_bytes: int = 0  # bytes that the leader has
+    acked_bytes: int = 0  # bytes that the leader has acknowledged
     reason: str = ""
 
 
 @dataclass(slots=True)
 class PendingRead:
+    """A read of a client of this process that is not answered yet."""
+
     deadline: int
-    retry_at: int = 0  # when it is asked again
-    index: int | None = None  # what has to be committed here
+    retry_at: int = 0  # when the leader is asked again
+    index: int | None = None  # commit index of the leader, to be reached here first
 
 
 @dataclass(slots=True)
 class UnconfirmedRead:
-    """A read that the leader answers once a round begun later is confirmed."""
+    """A read at the leader, which answers it once a quorum has confirmed the given round."""
 
     round: int
     index: int
@@ -65,26 +73,33 @@
 
 @dataclass(slots=True)
 class PartialProposal:
+    """A proposal that the leader has not received completely."""
+
     address: Address
     updated_at: int
     assembly: Assembly = field(default_factory=Assembly)
 
 
 class Proposals:
+    """The proposals and reads of one process."""
+
     def __init__(self, shared: Shared, voter: Voter) -> None:
         self.shared, self.voter = shared, voter
         self.open: dict[int, Proposal] = {}
         self.answers: dict[int, Answer] = {}
         self.pending_reads: dict[int, PendingRead] = {}
-        self.read_results: dict[int, int | None] = {}  # of reads: the version; None: it can't be said
+        self.read_results: dict[int, int | None] = {}  # of reads: the version; None: not confirmed in time
         self.unconfirmed_reads: list[UnconfirmedRead] = []
         self.partial: dict[int, PartialProposal] = {}
-        self.proposers: dict[int, Address] = {}  # whom to tell of a commit
+        self.proposers: dict[int, Address] = {}  # processes to notify of a commit
 
-    # ---- who is asked ----
+    # ---- at the receiving process ----
 
     def propose(self, now: int, body: bytes, expect: int, wait: int, ident: int) -> None:
-        """`wait`: nanoseconds until the answer is "not known". The answer comes up in `answers`, once."""
+        """Accept a proposal.
+
+        `wait`: nanoseconds until the answer is "not known". The answer appears in `answers`, once.
+        """
         if len(body) > LONGEST:
             self.answers[ident] = Answer(REFUSED, self.version(), f"it has more than {LONGEST} bytes")
         elif len(self.open) >= MAX_PENDING:
@@ -95,7 +110,7 @@
             self._forward_proposal(now, ident)
 
     def read(self, now: int, wait: int, token: int) -> None:
-        """The result comes up in `results`, once."""
+        """Accept a read; its result appears in `results`, once."""
         if len(self.pending_reads) >= MAX_PENDING:
             self.read_results[token] = None
             return
@@ -103,6 +118,7 @@
         self._forward_read(now, token)
 
     def version(self) -> int:
+        """The version that is committed here."""
         return self.shared.log.version_at(self.shared.commit)
 
     def outcome(self, ident: int, expect: int) -> Answer:
@@ -115,16 +131,18 @@
         if committed > expect:
             if self._knows_change_at(expect + 1):
                 return Answer(REFUSED, committed, f"version {expect + 1} is another change")
-            return Answer(UNKNOWN, committed, f"version {expect + 1} is too long ago to say whose it was")
+            return Answer(
+                UNKNOWN, committed, f"version {expect + 1} is too old to tell which proposal it was"
+            )
         return Answer(UNKNOWN, committed, "it is not decided yet")
 
     def _knows_change_at(self, version: int) -> bool:
-        """Whether it is known here whose change that committed version was."""
+        """Whether it is known here which proposal was committed as that version."""
         log = self.shared.log
         return version > log.base.version or version in log.base_proposals.values()
 
     def resolve(self, now: int) -> None:
-        """Answer what is decided, or has waited for long enough."""
+        """Answer proposals and reads that are decided or whose deadline has passed."""
         for ident, proposal in list(self.open.items()):
             answer = self.outcome(ident, proposal.expect)
             expired = now >= proposal.deadline
@@ -148,6 +166,7 @@
             del self.pending_reads[token]
 
     def on_tick(self, now: int) -> None:
+        """Repeat unanswered requests, and drop state that has expired."""
         self.resolve(now)
         for ident in list(self.open):
             self._forward_proposal(now, ident)
@@ -165,7 +184,7 @@
         proposal = self.open.get(ident)
         leader = self.voter.leader
         if proposal is None or leader is None or self.version() < proposal.expect or now < proposal.retry_at:
-            return  # where it builds on what is not known here, nobody has to see it yet
+            return  # not sent before the version that it builds on is committed here
         proposal.retry_at = now + RETRY_HEARTBEATS * self.shared.options.beat
         if leader == self.shared.me:
             proposal.sent = True
@@ -194,11 +213,12 @@
                 return
 
     def on_proposed(self, now: int, message: Message) -> None:
+        """Take the leader's acknowledgement of chunks."""
         proposal = self.open.get(message.ident)
         if proposal is None:
             return
         if message.sort == TOO_FEW_VOTERS:
-            proposal.reason = "there are too few voters to take it now"
+            proposal.reason = "there are too few voters to accept it now"
         elif message.offset > proposal.acked_bytes and message.offset < len(proposal.body):
             proposal.acked_bytes, proposal.retry_at = message.offset, now
             self._forward_proposal(now, message.ident)
@@ -214,14 +234,16 @@
             self.shared.send(now, REQUEST, leader[0], Kind.READ, self.voter.term, token=token)
 
     def on_ready(self, now: int, message: Message) -> None:
+        """Take the leader's confirmation of a read."""
         read = self.pending_reads.get(message.token)
         if read is not None and read.index is None:
             read.index = message.index
             self.resolve(now)
 
-    # ---- the leader ----
+    # ---- at the leader ----
 
     def on_propose(self, now: int, message: Message, address: Address) -> None:
+        """Take a chunk of a proposal, as leader."""
         if self.voter.lead is None or message.length > LONGEST:
             return
         if self._already_logged(message.ident):
@@ -259,7 +281,10 @@
         return ident in self.shared.log.index_by_ident or ident in self.shared.log.base_proposals
 
     def _append(self, now: int, ident: int, expect: int, body: bytes, address: Address | None) -> bool:
-        """Into the log, where it can be the next version; False: there are too few voters for that."""
+        """Append a proposal to the log if it can be the next version.
+
+        Returns False if there are fewer voters than wanted, so that it cannot be accepted now.
+        """
         voter, log = self.voter, self.shared.log
         if self._already_logged(ident) or not voter.settled() or log.version != expect:
             return True
@@ -271,6 +296,7 @@
         return True
 
     def on_read(self, now: int, message: Message, address: Address) -> None:
+        """Take a read, as leader."""
         self._register_read(now, message.token, address)
 
     def _register_read(self, now: int, token: int, address: Address | None) -> None:
@@ -287,7 +313,7 @@
         self.answer_confirmed_reads(now)
 
     def answer_confirmed_reads(self, now: int) -> None:
-        """Answer the reads whose round a majority has answered."""
+        """Answer the reads whose round a quorum has answered."""
         lead = self.voter.lead
         if lead is None:
             return
@@ -311,7 +337,7 @@
             self.resolve(now)
 
     def proposers_to_notify(self, now: int) -> list[Address]:
-        """Who is to hear at once of what was committed."""
+        """Processes whose proposals are now committed, each returned once."""
         commit, log = self.shared.commit, self.shared.log
         decided = [i for i in self.proposers if log.committed_version(i, commit) is not None]
         return [self.proposers.pop(ident) for ident in decided]
--- a/dykeshift/agree/seats.py
+++ b/dykeshift/agree/seats.py
@@ -1,8 +1,9 @@
-"""Who votes: seats, quorums, and which change of them comes next.
+"""The voters: seats, quorums, and the choice of the next change of seats.
 
-A seat is one process: a number and the birth that it drew. A process that has lost what it promised draws
-another birth and is another process; so nobody ever votes twice, with a disk or without (crash-stop). A
-change swaps, adds or removes one seat, through a joint stage in which both sides have to have a majority.
+A seat is the right of one process to vote. The process is identified by its number and its incarnation, a
+random number. A process that has lost its votes and acknowledgements draws another incarnation and counts as
+another process; so nobody votes twice in a term, with a disk or without. A change replaces, adds or removes
+one seat, through joint consensus: both the old and the new voters have to have a majority.
 """
 
 from __future__ import annotations
@@ -14,42 +15,49 @@
 
 
 def majority(seats: Collection[Seat], yes: Callable[[Seat], bool]) -> bool:
+    """Whether more than half of the seats satisfy the predicate."""
     return 2 * sum(map(yes, seats)) > len(seats)
 
 
 @dataclass(frozen=True, slots=True)
 class Seats:
+    """The voters: of one configuration, or of two in joint consensus."""
+
     now: tuple[Seat, ...] = ()
-    previous: tuple[Seat, ...] = ()  # in a joint stage: a majority of these has to agree as well
+    previous: tuple[Seat, ...] = ()  # in joint consensus: the old voters, whose majority is needed as well
 
     @property
     def joint(self) -> bool:
+        """Whether a change is under way."""
         return bool(self.previous)
 
     @property
     def all(self) -> frozenset[Seat]:
+        """The seats of both configurations."""
         return frozenset(self.now) | frozenset(self.previous)
 
     def quorum(self, yes: Callable[[Seat], bool]) -> bool:
+        """Whether a majority satisfies the predicate; in joint consensus, of each configuration."""
         return majority(self.now, yes) and (not self.previous or majority(self.previous, yes))
 
     def quorum_index(self, has: Callable[[Seat], int]) -> int:
-        """Up to where a majority has it; of both sides in a joint stage."""
+        """The highest index that a majority has; in joint consensus, a majority of each configuration."""
         return min(
             sorted(map(has, side))[(len(side) - 1) // 2] for side in (self.now, self.previous or self.now)
         )
 
     def joint_change(self, removed: Seat | None, added: Seat | None) -> Seats:
-        """The joint stage towards one seat less, one more, or one for another."""
+        """The joint configuration towards one seat removed, added or replaced."""
         now = [s for s in self.now if s != removed] + ([added] if added is not None else [])
         return Seats(tuple(sorted(now)), self.now)
 
     def after_joint(self) -> Seats:
+        """The configuration that ends joint consensus."""
         return Seats(self.now)
 
 
 def drawn(voters: int, places: int) -> tuple[int, ...]:
-    """The numbers that vote at first: as many, evenly spaced through the roster; an odd count."""
+    """The numbers of the first voters: an odd count, evenly spaced through the roster."""
     count = min(voters, places)
     count -= 1 - count % 2
     return tuple(n * places // count for n in range(count)) if count > 0 else ()
@@ -57,11 +65,11 @@
 
 @dataclass(slots=True)
 class MemberStatus:
-    """What a process answered the leader, to a question of its own."""
+    """The answer of a process to a query of the leader."""
 
     incarnation: int
-    index: int  # how far its committed prefix went
-    at: int  # when it was asked
+    index: int  # its commit index
+    at: int  # when the query was sent
     flags: int
 
 
@@ -75,16 +83,17 @@
     leaving: Callable[[Seat], bool],
     order: Iterable[int],
 ) -> tuple[Seat | None, Seat | None] | None:
-    """The next seat to swap, add or remove; None: all is well, or nobody is there to take it.
+    """The seats to remove and to add next; None: no change is due, or no process can take the seat.
 
-    `able`: could have a seat now. `lost`: silent for so long that another should have its seat. `order`: the
-    numbers that may take one, nearest first.
+    `eligible`: could have a seat now. `lost`: silent for so long that its seat should go to another.
+    `leaving`: about to end. `order`: the numbers that may take a seat, in order of preference.
     """
     taken = {number for number, _ in seats.now}
-    for number, birth in seats.now:
+    for number, incarnation in seats.now:
         other = seen.get(number)
-        if other is not None and other.incarnation != birth and eligible(number, other):
-            return (number, birth), (number, other.incarnation)  # it came back from nothing
+        if other is not None and other.incarnation != incarnation and eligible(number, other):
+            # The process restarted without its state.
+            return (number, incarnation), (number, other.incarnation)
     newcomer = next(
         ((n, seen[n].incarnation) for n in order if n not in taken and n in seen and eligible(n, seen[n])),
         None,
--- a/dykeshift/agree/shell.py
+++ b/dykeshift/agree/shell.py
@@ -1,4 +1,4 @@
-"""The agreement on a clock and a port that it shares with the view. Decides nothing."""
+"""Runs consensus on a clock and on a port that it shares with the view. Makes no decisions."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 from dykeshift.clock import Clock
 from dykeshift.view.table import Address
 
-Kept = Callable[[bool], None]  # whether what was handed over lasts
+Kept = Callable[[bool], None]  # called with whether the records are durable
 Persist = Callable[[list[Record], Kept], None]
 
 
 class Runner:
-    """Drives one agreement: its timer, its datagrams, who waits for answers; and keeps before it sends."""
+    """Drives one consensus node: timer, datagrams, callbacks.
+
+    Persists records before it sends what depends on them.
+    """
 
     def __init__(
         self,
@@ -27,10 +30,11 @@
         tell: Callable[[Event], None],
         keep: Persist | None = None,
     ) -> None:
-        """`keep`: makes records last, in order, and says when. None: there is no disk."""
+        """`keep`: persists records in order and reports when they are durable. None: there is no disk."""
         self.loop, self.clock, self.core = loop, clock, core
         self.send, self.on_event, self.keep = send, tell, keep
-        self.awaiting_disk: list[tuple[int, Out, list[Record]]] = []  # what waits for the disk, in order
+        # Output that waits for the disk, in order: (records issued, output, records).
+        self.awaiting_disk: list[tuple[int, Out, list[Record]]] = []
         self.timer: asyncio.TimerHandle | None = None
         self.timer_due = 0
         self.closed = False
@@ -38,25 +42,32 @@
         self.read_callbacks: dict[int, Callable[[int | None], None]] = {}
 
     def now(self) -> int:
+        """Nanoseconds of the monotonic clock."""
         return self.clock.monotonic_ns()
 
     def start(self) -> None:
+        """Start the node."""
         self.carry(self.core.start(self.now()))
 
     def take(self, data: bytes, address: Address) -> None:
+        """Take a datagram."""
         if not self.closed:
             self.carry(self.core.on_datagram(self.now(), data, address))
 
     def propose(
         self, body: bytes, expect: int, wait: int, ident: int | None, done: Callable[[Answer], None]
     ) -> int:
-        """`done` is called once, within `wait` nanoseconds of this process's clock."""
+        """Propose a change and return its ident.
+
+        `done` is called once, within `wait` nanoseconds of this process's clock.
+        """
         number, out = self.core.propose(self.now(), body, expect, wait, ident)
         self.answer_callbacks.setdefault(number, []).append(done)
         self.carry(out)
         return number
 
     def read(self, wait: int, done: Callable[[int | None], None]) -> None:
+        """Start a linearizable read; `done` is called with the version, or None if it was not confirmed."""
         token, out = self.core.read(self.now(), wait)
         self.read_callbacks[token] = done
         self.carry(out)
@@ -67,7 +78,7 @@
             self.carry(self.core.on_timer(max(self.now(), self.core.next_at)))
 
     def carry(self, out: Out) -> None:
-        """After each call of the core."""
+        """Carry out the output of a call of the node; to be called after each one."""
         records = self.core.take_records()
         if self.keep is None or not records and not self.awaiting_disk:
             self.send(out)
@@ -91,7 +102,7 @@
             self.timer = self.loop.call_later(max(0.0, (self.timer_due - self.now()) / 1e9), self._on_timer)
 
     def _flush(self) -> None:
-        """All that waits, as one piece of work for the disk."""
+        """Hand all waiting records to the disk as one batch."""
         assert self.keep is not None
         count = len(self.awaiting_disk)
         self.keep(
@@ -101,13 +112,13 @@
 
     def _on_flushed(self, count: int, ok: bool) -> None:
         while count < len(self.awaiting_disk) and not self.awaiting_disk[count][2]:
-            count += 1  # they waited for what is kept now, and have nothing to keep
+            count += 1  # without records of its own, it waited only for those before it
         flushed, self.awaiting_disk = self.awaiting_disk[:count], self.awaiting_disk[count:]
         if self.closed:
             return
         if not ok:
             self.keep = None
-            self.awaiting_disk.clear()  # what was to be said is not true without the disk
+            self.awaiting_disk.clear()  # these datagrams would claim durability that does not exist
             self.carry(self.core.on_disk_failed(self.now()))
             return
         for _, out, _ in flushed:
@@ -117,6 +128,7 @@
         self.carry(self.core.on_kept(self.now(), flushed[-1][0]))
 
     def close(self) -> None:
+        """Stop; nothing is sent or reported any more."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
--- a/dykeshift/agree/spread.py
+++ b/dykeshift/agree/spread.py
@@ -1,14 +1,14 @@
-"""How what is committed reaches everybody, and what a balancer may hold true without asking: its lease.
+"""Dissemination of committed entries to all processes, and the lease under which they may be used.
 
-Everybody asks a member drawn at random each `ask` what it has, and fetches what it lacks from whoever has it;
-a small change is pushed on once by everybody who learns it. Nothing is taken but committed entries in order,
-each whole and with the chain that it should have.
+Every process periodically queries a random member for what it has, and fetches what it lacks from one that
+has it; a small change is also pushed once by each process that learns it. Only committed entries are taken,
+in order, each complete and with the expected chain digest.
 
-The lease: `fresh_at` is a time of this process's own clock such that everything that was committed by then
-is in its committed prefix. The leader's is the start of its last round that a majority answered. Anybody
-else's comes by a question: asked at t, answered "mine is so old": it was fresh at t less that age, however
-long the question and the answer took. So a lease never outlives what a majority has granted; it is over
-`lease` after `fresh_at`, and a process that stood still finds that by its clock alone.
+The lease: `fresh_at` is a time of this process's own clock such that everything committed by then is in its
+committed prefix. For the leader it is the start of its last round that a quorum answered. For any other
+process it follows from a query: if the query was sent at t and the answer states age a, the prefix was fresh
+at t - a, however long the query and the answer took. So a lease never outlives what a quorum has granted. It
+ends `lease` after `fresh_at`, so a suspended process finds by its clock alone that it has ended.
 """
 
 from __future__ import annotations
@@ -20,27 +20,31 @@
 from dykeshift.agree.wire import BLANK, CHUNK, END_OF_BURST, NO_AGE, NO_NUMBER, RETIRING, Epoch, Kind, Message
 from dykeshift.view.table import Address
 
-BURST = 6  # pieces that answer one request
-FANOUT = 3  # members that a new change is passed on to
-QUERY_TICKS = 3  # beats between two questions
-SWITCH_AFTER = 2  # of these, after which somebody else that has more is asked
-MAX_FETCH_TRIES = 5  # requests to one that does not answer them
+BURST = 6  # datagrams that answer one FETCH
+FANOUT = 3  # members that a new commit is pushed to
+QUERY_TICKS = 3  # ticks (half a heartbeat each) between two queries
+SWITCH_AFTER = 2  # unanswered fetches after which another member with as much may become the source
+MAX_FETCH_TRIES = 5  # unanswered fetches after which the source is dropped
 
 
 class Dissemination:
+    """Fetches and pushes committed entries, and keeps the lease."""
+
     def __init__(self, shared: Shared, voter: Voter) -> None:
         self.shared, self.voter = shared, voter
         self.fresh_at: int | None = None
-        self.pending_freshness: list[tuple[int, int]] = []  # fresh then, once so much is committed here
-        self.queries: dict[int, int] = {}  # token: when it was asked
+        self.pending_freshness: list[tuple[int, int]] = []  # (fresh at, once this index is committed here)
+        self.queries: dict[int, int] = {}  # token: when it was sent
         self.entry_assembly, self.base_assembly = Assembly(), Assembly()
-        self.fetch_target: tuple[Epoch, int, Address] | None = None  # who has more, and up to where
-        self.most_committed = (0, 0)  # the most that anybody was heard to have, and when
+        # The source to fetch from: epoch, commit index, address.
+        self.fetch_target: tuple[Epoch, int, Address] | None = None
+        self.most_committed = (0, 0)  # highest commit index heard of, and when
         self.tries = self.ticks = 0
-        self.progressed = False  # something arrived since the last beat
+        self.progressed = False  # whether anything arrived since the last tick
         self.pushed_index = 0
 
     def reset(self) -> None:
+        """Start anew, in another epoch."""
         self.fresh_at = None
         self.pending_freshness.clear()
         self.queries.clear()
@@ -51,6 +55,7 @@
     # ---- the lease ----
 
     def freshness(self) -> int | None:
+        """`fresh_at`, brought up to date from the rounds of a leader."""
         lead, shared = self.voter.lead, self.shared
         confirmed = lead is not None and self.voter.settled() and lead.confirmed_at >= 0
         if lead is not None and confirmed and lead.confirmed_commit <= shared.commit:
@@ -61,21 +66,22 @@
         self.fresh_at = at if self.fresh_at is None else max(at, self.fresh_at)
 
     def lease_left(self, now: int) -> int:
-        """For how long what is committed here may be held true; 0: not at all."""
+        """For how long the committed prefix may still be relied on; 0: there is no lease."""
         options, at = self.shared.options, self.freshness()
         if at is None or self.shared.fenced:
             return 0
         return max(0, at + int(options.lease * (1 - 2 * options.drift)) - now)
 
     def _age(self, now: int) -> int:
-        """In milliseconds, rounded up; NO_AGE where there is no lease."""
+        """Age of the committed prefix in milliseconds, rounded up; NO_AGE without a lease."""
         if not self.lease_left(now) or self.fresh_at is None:
             return NO_AGE
         return -((self.fresh_at - now) // 1_000_000)
 
-    # ---- asking and answering ----
+    # ---- queries ----
 
     def on_tick(self, now: int) -> None:
+        """Query, push and fetch periodically."""
         shared, self.ticks = self.shared, self.ticks + 1
         for token in [t for t, at in self.queries.items() if now - at > shared.options.lease]:
             del self.queries[token]
@@ -86,6 +92,7 @@
         self._continue_fetch(now)
 
     def query(self, now: int, number: int) -> None:
+        """Ask a member what it has."""
         shared = self.shared
         token = shared.rng.getrandbits(32) or 1
         flags = BLANK * shared.blank | RETIRING * shared.retiring
@@ -95,9 +102,11 @@
             self.queries[token] = now
 
     def on_ask(self, now: int, message: Message, address: Address) -> None:
+        """Answer a query."""
         self.send_status(now, address, message.token)
 
     def send_status(self, now: int, to: int | Address, token: int) -> None:
+        """Send what is committed here. `token`: that of the query; 0: unsolicited."""
         shared, leader = self.shared, self.voter.leader or (NO_NUMBER, 0)
         self.freshness()
         shared.send(
@@ -117,7 +126,7 @@
         )
 
     def on_answer(self, now: int, message: Message, address: Address) -> None:
-        """Of this epoch."""
+        """Take an answer, or an unsolicited status, of this epoch."""
         asked = self.queries.pop(message.token, None)
         self.note_commit(now, message.epoch, message.commit, address)
         if self.shared.commit == message.commit and self.shared.log.chain_at(message.commit) != message.chain:
@@ -136,10 +145,10 @@
                 self._raise_freshness(at)
         self.pending_freshness = [(at, index) for at, index in self.pending_freshness if index > commit][-8:]
 
-    # ---- more than is here ----
+    # ---- fetching ----
 
     def note_commit(self, now: int, epoch: Epoch, commit: int, address: Address) -> None:
-        """Somebody has so much of it."""
+        """Note that a member has this much committed; it may become the source to fetch from."""
         shared = self.shared
         if commit >= self.most_committed[0] or now - self.most_committed[1] > shared.options.lease:
             self.most_committed = commit, now
@@ -160,7 +169,7 @@
             self.fetch_target, self.tries = (epoch, commit, address), 0
 
     def _continue_fetch(self, now: int) -> None:
-        """Ask for what is missing, again where nothing came."""
+        """Fetch what is missing, again if nothing came since the last tick."""
         if self.fetch_target is None:
             return
         progressed, self.progressed = self.progressed, False
@@ -175,6 +184,7 @@
                 self.fetch(now)
 
     def fetch(self, now: int) -> None:
+        """Request the next chunks from the source."""
         if self.fetch_target is None:
             return
         epoch, _, address = self.fetch_target
@@ -195,6 +205,7 @@
         )
 
     def on_fetch(self, now: int, message: Message, address: Address) -> None:
+        """Send the requested entries, or the base if the entries are compacted."""
         shared = self.shared
         index, offset = message.index, message.offset
         if not shared.log.holds(index):
@@ -261,7 +272,7 @@
                 return
 
     def on_piece(self, now: int, message: Message, address: Address) -> None:
-        """A piece of a committed entry of this epoch."""
+        """Take a chunk of a committed entry of this epoch."""
         shared = self.shared
         self.note_commit(now, message.epoch, message.commit, address)
         if message.index == shared.commit + 1:
@@ -281,7 +292,10 @@
             self.fetch(now)
 
     def _append_committed(self, now: int, message: Message, entry: Entry) -> None:
-        """A committed entry, the next one: what stands in its place and is another was never committed."""
+        """Append the next committed entry.
+
+        A different entry at its index, if there is one, was never committed and is removed.
+        """
         shared, log = self.shared, self.shared.log
         index = message.index
         if log.chain_at(index) != message.chain:
@@ -301,7 +315,10 @@
         self._apply_pending_freshness()
 
     def on_base(self, now: int, message: Message, address: Address) -> Base | None:
-        """A piece of a base, of this epoch or of the one that is fetched; the whole one of the latter."""
+        """Take a chunk of a base, of this epoch or of the one that is being fetched.
+
+        Returns the complete base if it is of the latter.
+        """
         shared = self.shared
         if self.fetch_target is None or message.epoch != self.fetch_target[0]:
             return None
@@ -331,17 +348,20 @@
         self.fetch(now)
         return None
 
-    # ---- news ----
+    # ---- pushing ----
 
     def _announce_commit(self, now: int) -> None:
-        """To some, once."""
+        """Push what is committed to some members, once."""
         if not self.shared.blank and self.shared.commit > self.pushed_index:
             for number in self.shared.random_members(FANOUT):
                 self.push(now, number)
             self.pushed_index = self.shared.commit
 
     def push(self, now: int, to: int | Address) -> None:
-        """The last change itself where it is the only one since the last push, and short; else word of it."""
+        """Push to one member.
+
+        Sends the last change itself if it is short and the only one since the last push, else the status.
+        """
         log, index = self.shared.log, self.shared.commit
         entry = log.entry(index) if log.holds(index) and index == self.pushed_index + 1 else None
         if entry is not None and entry.sort != Sort.NOTHING and len(entry.body) <= CHUNK:
--- a/dykeshift/agree/voting.py
+++ b/dykeshift/agree/voting.py
@@ -1,15 +1,16 @@
-"""Elections, replication and what is committed: Raft's rules between processes that never forget a promise.
-
-States: LEARNER (has no seat), FOLLOWER, CANDIDATE, LEADER. The rules are those of Ongaro's thesis, with a
-vote
-before the vote, a leader that steps down when no majority answers, joint changes of one seat, and the 2015
-correction: no change of seats before an entry of the leader's own term is committed.
-
-Promises that hold at every instant:
- 1. One vote a term from each process, kept before it is said; so at most one leader a term.
- 2. What a process says it has, it has kept, and nobody but a later leader's log takes it away.
- 3. Only entries of the leader's own term are counted; what is behind them is committed with them.
- 4. `confirmed_at`: at that time of this process's clock nobody later than this leader had committed anything.
+"""Leader election, log replication and commitment, after Raft.
+
+Roles: LEARNER (holds no seat), FOLLOWER, CANDIDATE, LEADER. The rules are those of Ongaro's thesis: a
+pre-vote round before each election, a leader that steps down when no quorum answers it, joint consensus that
+changes one seat at a time, and the correction of 2015: no change of seats before an entry of the leader's own
+term is committed.
+
+Invariants:
+ 1. A process gives one vote per term and makes it durable before it sends it; so a term has at most one
+    leader.
+ 2. What a process acknowledges is durable, and only the log of a later leader removes it.
+ 3. Only entries of the leader's own term are counted; earlier entries are committed together with them.
+ 4. At `confirmed_at`, on this process's clock, no later leader had committed anything.
 """
 
 from __future__ import annotations
@@ -24,19 +25,21 @@
 from dykeshift.agree.wire import CHUNK, HAS_DISK, LOST_ENTRIES, RETIRING, YES, Kind, Message, Seat
 from dykeshift.view.table import Address
 
-ELECTION_TIMEOUT_HEARTBEATS = 5  # beats without a leader before an election; twice that at most, drawn
-UNRESPONSIVE_HEARTBEATS = 3  # beats after which a voter that has not answered gets no entries until it does
-MAX_IN_FLIGHT = 8  # datagrams to one voter that are not answered yet
-NO_ENTRY = 0xFF  # sort of an APPEND that carries no entry
-MAX_LAG = 8  # entries that a process may lack to get a seat
-ROUND_GAP_DIVISOR = 4  # of a beat: rounds that have a cause are not closer to one another
-LOG_CHECK_TICKS = (
-    40  # looks round, half a beat each, that a leader has to see what a process brings from its disk
-)
-MAX_UNCONFIRMED_ROUNDS = 64  # of the leader that may be unconfirmed
+ELECTION_TIMEOUT_HEARTBEATS = 5  # lower bound of the randomized election timeout; the upper one is twice that
+UNRESPONSIVE_HEARTBEATS = 3  # a voter silent for longer gets empty appends only, until it answers
+MAX_IN_FLIGHT = 8  # unacknowledged datagrams with entries, for each voter
+NO_ENTRY = 0xFF  # `sort` of an APPEND that carries no entry
+MAX_LAG = 8  # committed entries that a process may lack and still get a seat
+ROUND_GAP_DIVISOR = 4  # rounds started on demand are at least heartbeat / this apart
+# Ticks (half a heartbeat each) after a restart from disk during which a voter takes no committed entries from
+# other members: the leader first has to see whether the voter still has the entries that it acknowledged.
+LOG_CHECK_TICKS = 40
+MAX_UNCONFIRMED_ROUNDS = 64  # rounds of the leader that await a quorum; the oldest is dropped first
 
 
 class Role(IntEnum):
+    """The role of a process in consensus."""
+
     LEARNER = 0
     FOLLOWER = 1
     CANDIDATE = 2
@@ -45,39 +48,41 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What the leader knows of one voter."""
+    """What the leader knows about one voter."""
 
-    next: int  # the entry to send, and from where in it
+    next: int  # index of the next entry to send; `offset` is the position in its body
     offset: int = 0
     match: int = 0
     acked_round: int = 0  # the highest round that it answered
     heard_at: int = 0
     flight: int = 0  # datagrams with entries that it has not answered
-    partial: tuple[int, int] = (0, 0)  # an entry, and how much of it has arrived
+    partial: tuple[int, int] = (0, 0)  # index of an entry, and how many of its bytes have arrived
     retiring: bool = False
-    match_round: int = 0  # the round that was the latest when its `match` came
-    lost_entries: bool = False  # it has lost what it said it had
+    match_round: int = 0  # the latest round when `match` last grew
+    lost_entries: bool = False  # it no longer has entries that it acknowledged
 
 
 @dataclass(slots=True)
 class LeaderState:
-    """What only a leader has."""
+    """The state that only a leader has."""
 
     first: int  # index of the first entry of its term
-    next_round_at: int = 0  # when it speaks next without a cause
+    next_round_at: int = 0  # when the next periodic round is due
     round_started_at: int = 0  # when its last round began
-    maintained_at: int = 0  # when it last looked after its voters
+    maintained_at: int = 0  # when the seats were last checked
     round: int = 0
-    unconfirmed: dict[int, tuple[int, int]] = field(default_factory=dict)  # round: when, what was committed
-    confirmed: int = 0  # the latest round that a majority answered
+    unconfirmed: dict[int, tuple[int, int]] = field(default_factory=dict)  # round: (start, commit index)
+    confirmed: int = 0  # the latest round that a quorum answered
     confirmed_at: int = -1
     confirmed_commit: int = 0
     progress: dict[Seat, Progress] = field(default_factory=dict)
     member_status: dict[int, MemberStatus] = field(default_factory=dict)
-    status_queries: dict[int, tuple[int, int]] = field(default_factory=dict)  # token: number, when
+    status_queries: dict[int, tuple[int, int]] = field(default_factory=dict)  # token: (number, time)
 
 
 class Voter:
+    """Elections and replication of one process."""
+
     def __init__(self, shared: Shared) -> None:
         self.shared = shared
         self.role = Role.LEARNER
@@ -85,32 +90,34 @@
         self.vote: Seat | None = None
         self.leader: Seat | None = None
         self.heard = -1  # when the leader was last heard; -1: never
-        self.election_due = 0  # how long there is patience
-        self.prevoting = True  # a candidate's first stage
+        self.election_due = 0  # when the election timeout expires
+        self.prevoting = True  # whether a candidate is still in the pre-vote round
         self.votes: set[Seat] = set()
         self.prevote_token = 0
         self.lead: LeaderState | None = None
         self.assembly = Assembly()
-        self.vote_record = 0  # of the records, the one with the present vote
-        # back from a disk: beats in which a leader is to see whether it holds what it promised
+        self.vote_record = 0  # number of the record that holds the present vote
+        # After a restart from disk: remaining ticks in which a leader is to verify this voter's log.
         self.log_check_ticks = 0
 
-    # ---- what everybody does ----
+    # ---- all roles ----
 
     @property
     def seats(self) -> Seats:
+        """The voters by the latest entry of the log, committed or not."""
         return self.shared.log.seats
 
     def seated(self) -> bool:
+        """Whether this process holds a seat in its epoch."""
         return self.shared.me in self.seats.all and not self.shared.fenced
 
     def reset_election_timer(self, now: int) -> None:
-        """Draw anew how long to wait for a leader."""
+        """Draw a new randomized election timeout."""
         beat = self.shared.options.beat
         self.election_due = now + int(beat * ELECTION_TIMEOUT_HEARTBEATS * (1 + self.shared.rng.random()))
 
     def reset(self, now: int) -> None:
-        """Another epoch, or another birth: nothing was promised in it."""
+        """Start without a term or a vote, in another epoch or under another incarnation."""
         self.term, self.vote, self.leader, self.heard = 0, None, None, -1
         self._become(Role.LEARNER)
         self.assembly.clear()
@@ -124,7 +131,7 @@
             self.shared.emit("role", text=role.name.lower())
 
     def _enter_term(self, now: int, term: int, leader: Seat | None) -> None:
-        """Belong to this term, at least the present one."""
+        """Follow in this term, which is the present one or a later one."""
         if term > self.term:
             self.term, self.vote = term, None
             self.shared.persist("vote", term, None)
@@ -139,11 +146,13 @@
                 self.shared.emit("leader", text=str(leader[0]))
 
     def step_down(self, now: int) -> None:
+        """Give up candidacy or leadership; a learner stays one."""
         if self.role is not Role.LEARNER:
             self._enter_term(now, self.term, None)
             self.reset_election_timer(now)
 
     def on_tick(self, now: int) -> None:
+        """Run the periodic work: rounds and seats of a leader, the election timeout of a voter."""
         self.check_quorum(now)
         self.log_check_ticks = max(0, self.log_check_ticks - 1)
         if self.lead is not None:
@@ -165,8 +174,10 @@
             self._start_prevote(now)
 
     def check_quorum(self, now: int) -> None:
-        """A leader whom no majority has answered for as long as an election takes is none any more; also one
-        that stood still: it finds this before it does anything else."""
+        """Step down if no quorum has answered within the longest election timeout.
+
+        A leader that was suspended finds this out before it does anything else.
+        """
         lead = self.lead
         if lead is None:
             return
@@ -201,7 +212,7 @@
         return sorted({n for n, _ in self.seats.all if n != self.shared.number})
 
     def stand(self, now: int, by_request: bool = False) -> None:
-        """Call an election. `asked`: by the leader, which leaves."""
+        """Start an election. `by_request`: the leader asked for it, as it leaves."""
         if not self.seated():
             return
         shared, log = self.shared, self.shared.log
@@ -225,18 +236,19 @@
         self.count_votes(now)
 
     def _log_up_to_date(self, index: int, term: int) -> bool:
-        """Whether a log that ends like that has all that this one has."""
+        """Whether a log that ends with this index and term has all that this one has."""
         log = self.shared.log
         return (term, index) >= (log.last_term, log.last)
 
     def trusts_leader(self, now: int) -> bool:
-        """The leader was heard so lately that nobody has to be elected."""
+        """Whether the leader was heard so recently that no election is due."""
         beat = self.shared.options.beat
         return (
             self.lead is not None or self.heard >= 0 and now - self.heard < ELECTION_TIMEOUT_HEARTBEATS * beat
         )
 
     def on_prevote(self, now: int, message: Message, address: Address) -> None:
+        """Answer whether a vote would be given; this binds nobody."""
         eligible = message.term > self.term and self._log_up_to_date(message.index, message.of)
         granted = eligible and not self.trusts_leader(now)
         self.shared.send(
@@ -244,6 +256,7 @@
         )
 
     def on_prevoted(self, now: int, message: Message) -> None:
+        """Count a pre-vote; with a quorum of them start the election."""
         if message.term > self.term:
             self._enter_term(now, message.term, None)
         elif (
@@ -257,6 +270,7 @@
                 self.stand(now)
 
     def on_vote(self, now: int, message: Message, address: Address) -> None:
+        """Grant or refuse a vote."""
         if self.trusts_leader(now) and not message.flags & YES:
             return
         if message.term > self.term:
@@ -274,6 +288,7 @@
         self.shared.send(now, URGENT, address, Kind.VOTED, self.term, flags=YES * granted)
 
     def on_voted(self, now: int, message: Message) -> None:
+        """Count a vote."""
         if message.term > self.term:
             self._enter_term(now, message.term, None)
         elif message.term == self.term and message.flags & YES and not self.prevoting:
@@ -281,7 +296,10 @@
             self.count_votes(now)
 
     def count_votes(self, now: int, persisted: int | None = None) -> None:
-        """Lead, where a majority has voted for this process and its vote is kept. `kept`: records so far."""
+        """Become leader once a quorum has voted for this process and its own vote is durable.
+
+        `persisted`: how many records are durable.
+        """
         shared = self.shared
         own_vote_durable = not shared.disk or persisted is not None and persisted >= self.vote_record
         if (
@@ -291,7 +309,7 @@
         ):
             return
         if not own_vote_durable and self.votes == {shared.me}:
-            return  # others answer only what was sent after it was kept
+            return  # VOTE is sent only after the vote is durable, so a vote of another proves that it is
         self._become(Role.LEADER)
         self.leader, self.heard = shared.me, now
         shared.emit("leader", text=str(shared.number))
@@ -303,11 +321,12 @@
         self.commit(now)
 
     def on_now(self, now: int, message: Message) -> None:
+        """Start an election at the request of the present leader."""
         if message.term == self.term and message.sender == self.leader:
             self.stand(now, by_request=True)
 
     def transfer_leadership(self, now: int) -> None:
-        """Ask the voter that has most to be leader; it does not have to."""
+        """Ask a voter with a complete log to take over; it may decline."""
         if self.lead is None:
             return
         eligible = [
@@ -321,7 +340,7 @@
         if eligible:
             self.shared.send(now, URGENT, max(eligible)[1][0], Kind.NOW, self.term)
 
-    # ---- the leader's words ----
+    # ---- append entries ----
 
     def _track(self, now: int, seat: Seat) -> None:
         assert self.lead is not None
@@ -329,7 +348,10 @@
             self.lead.progress[seat] = Progress(self.shared.log.last + 1, heard_at=now)
 
     def request_round(self, now: int) -> int:
-        """A round begun after this: at once, or with the next tick where the last one has just begun."""
+        """The number of a round that begins after this call.
+
+        It begins at once, or with the next tick if the last one has only just begun.
+        """
         lead = self.lead
         assert lead is not None
         if now - lead.round_started_at >= self.shared.options.beat // ROUND_GAP_DIVISOR:
@@ -338,7 +360,10 @@
         return lead.round + 1
 
     def broadcast(self, now: int, resend: bool = False) -> int:
-        """A round of words to all voters; its number. `again`: with what was sent and is not answered."""
+        """Begin a round: an append to every voter.
+
+        Returns its number. `resend`: repeat unanswered entries.
+        """
         lead = self.lead
         assert lead is not None
         lead.round, lead.round_started_at = lead.round + 1, now
@@ -353,17 +378,20 @@
         return lead.round
 
     def send_entries(self, now: int, seat: Seat, heartbeat: bool = False, resend: bool = False) -> None:
-        """Send what this voter lacks, as far as its window goes. `word`: a round, with or without entries."""
+        """Send a voter the entries that it lacks, within its window.
+
+        `heartbeat`: send an append even if there are no entries to send.
+        """
         lead, log = self.lead, self.shared.log
         assert lead is not None
         progress = lead.progress[seat]
-        if resend and progress.flight:  # from where it said it was
+        if resend and progress.flight:  # resume at the acknowledged position
             progress.next, progress.flight = (
                 max(progress.match + 1, min(progress.next, log.last + 1) - MAX_IN_FLIGHT),
                 0,
             )
             progress.offset = progress.partial[1] if progress.partial[0] == progress.next else 0
-        # One that does not answer gets the round alone: what it lacks would take the budget of the others.
+        # A silent voter gets empty appends only: its entries would use up the budget of the others.
         responsive = now - progress.heard_at <= UNRESPONSIVE_HEARTBEATS * self.shared.options.beat
         while responsive and progress.flight < MAX_IN_FLIGHT and log.holds(progress.next):
             entry = log.entry(progress.next)
@@ -413,6 +441,10 @@
         return RETIRING * self.shared.retiring | HAS_DISK * self.shared.disk
 
     def on_append(self, now: int, message: Message, address: Address) -> None:
+        """Take an append of a leader.
+
+        Checks that the logs match, stores the entry, and advances the commit index.
+        """
         if message.term < self.term or message.term == self.term and self.role is Role.LEADER:
             self.shared.send(now, URGENT, address, Kind.APPENDED, self.term, token=0)
             return
@@ -445,7 +477,10 @@
         )
 
     def _store_entry(self, message: Message) -> int:
-        """A piece of the entry behind one that fits; up to which index the log is the leader's now."""
+        """Store a chunk of the entry that follows the matching prefix.
+
+        Returns the index up to which the log matches that of the leader.
+        """
         shared, log = self.shared, self.shared.log
         if log.term_at(message.index) == message.of:
             return message.index
@@ -465,6 +500,7 @@
         return message.index
 
     def on_appended(self, now: int, message: Message) -> None:
+        """Take the answer of a voter to an append."""
         if message.term > self.term:
             self._enter_term(now, message.term, None)
             return
@@ -487,7 +523,7 @@
                     else (progress.match + 1, 0)
                 )
         elif message.index < progress.match and message.token > progress.match_round:
-            progress.lost_entries = True  # asked after it had said so, it has it no more
+            progress.lost_entries = True  # in a later round it no longer has what it had acknowledged
         elif message.index < progress.next:
             progress.next, progress.flight = max(message.index, progress.match) + 1, 0
             progress.offset = progress.partial[1] if progress.partial[0] == progress.next else 0
@@ -497,7 +533,7 @@
             self.send_entries(now, message.sender)
 
     def _confirm_rounds(self, now: int) -> None:
-        """Which of its rounds a majority has answered."""
+        """Find the latest round that a quorum has answered."""
         lead, me = self.lead, self.shared.me
         assert lead is not None
         for number in sorted((n for n in lead.unconfirmed if n > lead.confirmed), reverse=True):
@@ -508,11 +544,11 @@
                 return
 
     def settled(self) -> bool:
-        """A leader that knows what is committed: an entry of its own term is."""
+        """Whether this leader has committed an entry of its own term, so that it knows what is committed."""
         return self.lead is not None and self.shared.commit >= self.lead.first
 
     def commit(self, now: int) -> None:
-        """What a majority has is committed."""
+        """Advance the commit index to what a quorum has."""
         lead, shared = self.lead, self.shared
         if lead is None:
             return
@@ -522,7 +558,7 @@
             self._after_commit(now)
 
     def _match_index(self, seat: Seat) -> int:
-        """Up to where."""
+        """Up to which index this voter is known to have the log durably."""
         assert self.lead is not None
         if seat == self.shared.me:
             return self.shared.durable_index()
@@ -535,7 +571,7 @@
         if self.seats.joint and seats_committed:
             self.propose(now, Entry(self.term, Sort.SEATS, 0, pack_seats(self.seats.after_joint())))
         elif shared.me not in self.seats.all and seats_committed:
-            self.broadcast(now)  # the others hear that it is committed before this one is none of them
+            self.broadcast(now)  # the voters learn that the change is committed before this leader leaves
             self._become(Role.LEARNER)
         else:
             self.request_round(now)
@@ -543,7 +579,7 @@
     # ---- seats ----
 
     def _maintain_seats(self, now: int) -> None:
-        """Ask those who might take a seat, and change one where that is called for."""
+        """Query processes that might take a seat, and start a change of seats if one is due."""
         lead, shared = self.lead, self.shared
         assert lead is not None
         beat, target = shared.options.beat, shared.log.base.wanted
@@ -597,7 +633,7 @@
         return progress.lost_entries or now - progress.heard_at > self.shared.options.replace
 
     def on_status(self, message: Message) -> None:
-        """An answer to a question of the leader: who is there now."""
+        """Take the answer to a query of `_maintain_seats`."""
         if self.lead is None or message.token not in self.lead.status_queries:
             return
         number, at = self.lead.status_queries.pop(message.token)
@@ -607,7 +643,7 @@
             )
 
     def propose(self, now: int, entry: Entry) -> None:
-        """A leader's own log grows."""
+        """Append an entry to the leader's own log and replicate it."""
         self.shared.append(entry)
         assert self.lead is not None
         for seat in sorted(self.seats.all):
--- a/dykeshift/agree/wire.py
+++ b/dykeshift/agree/wire.py
@@ -1,20 +1,19 @@
-"""Datagrams of the agreement, byte by byte; `docs/design/agree.md` has the same as a table.
+"""The datagrams of consensus, byte by byte; `docs/design/agree.md` has the same as a table.
 
 A datagram is at most 256 bytes, numbers are big-endian:
 
-     0  version (1)                        16  epoch: its number, 2 bytes, and who began it, 4 bytes
-     1  kind (32 and more; less is the view's)  22  term, 4 bytes
-     2  tag of the fleet's name, 2 bytes   26  the kind's own fields, then a chunk of bytes where it has one
-     4  number of the sender, 2 bytes      -8  seal: BLAKE2s over all before it, keyed, personal to the fleet
-     6  birth of the sender, 4 bytes
-    10  flags (2 bytes)
+     0  version (1)                              16  epoch: number, 2 bytes, and incarnation of its founder, 4
+     1  kind (from 32; lower ones: the view)     22  term, 4 bytes
+     2  tag of the fleet's name, 2 bytes         26  fields of the kind, then its chunk, if it has one
+     4  number of the sender, 2 bytes            -8  MAC: BLAKE2s over all before it, keyed, with the fleet's
+     6  incarnation of the sender, 4 bytes           name as personalization
+    10  flags, 2 bytes
     12  history, 4 bytes
 
-A reader drops a version or a kind that it does not know as a whole. Any bytes at all end in a message or in
-`Bad` with one of the view's REASONS. Nothing here has to be fresh: a promise of a sender (number and birth)
-is
-true for good, as a process that can't know what it promised takes another birth; what has to be fresh carries
-a random token and is answered with it.
+A reader drops a datagram of an unknown version or kind. Any input results in a message or in `Bad` with one
+of the view's REASONS. Datagrams are not protected against replay as such: a vote or an acknowledgement of a
+sender (number and incarnation) stays true for good, as a process that cannot know which ones it gave takes
+another incarnation. What has to be fresh carries a random token and is answered with it.
 """
 
 from __future__ import annotations
@@ -26,36 +25,38 @@
 from dykeshift.view.wire import MOST, SEAL, VERSION, Bad, Seal, unseal
 
 HEADER = struct.Struct(">BBHHIHIHII")
-NEXT_LAYER_KIND = 64  # kinds from here on are those of what is built on the agreement
-NO_NUMBER = 0xFFFF  # of a process that was told none: it never has a seat
-NO_AGE = 0xFFFFFFFF
+NEXT_LAYER_KIND = 64  # kinds from here on belong to protocols built on consensus
+NO_NUMBER = 0xFFFF  # of a process without a number: it never has a seat
+NO_AGE = 0xFFFFFFFF  # the sender has no lease
 
-Seat = tuple[int, int]  # number and birth: one process that may promise
-Epoch = tuple[int, int, int]  # history, number, who began it
+Seat = tuple[int, int]  # number and incarnation of a process
+Epoch = tuple[int, int, int]  # history, number, incarnation of the process that started it
 
 
 class Kind(IntEnum):
-    APPEND = 32  # from the leader: its round, what is committed, one piece of an entry at most
+    """The kinds of datagrams."""
+
+    APPEND = 32  # append entries: round, commit index, at most one chunk of an entry
     APPENDED = 33
-    PREVOTE = 34  # whether a vote would be given; promises nothing
+    PREVOTE = 34  # would you vote for me? binds nobody
     PREVOTED = 35
     VOTE = 36
     VOTED = 37
-    NOW = 38  # the leader leaves: call an election at once
-    ASK = 39  # what do you have? owes an ANSWER
-    ANSWER = 40  # what is committed here, and how old that knowledge is; token 0: nobody asked
-    FETCH = 41  # from here on, please
-    PIECE = 42  # of a committed entry
-    BASE = 43  # of the state that the log begins with
-    PROPOSE = 44  # a piece of a proposal, to the leader
-    PROPOSED = 45  # what became of it so far
-    READ = 46  # what is committed now, by a quorum?
-    READY = 47
-
-
-# flags: knows no history; leaves; has a disk; end of a burst
+    NOW = 38  # from a leaving leader: start an election at once (timeout now)
+    ASK = 39  # query for the status of a member
+    ANSWER = 40  # commit index of the sender, and its age; token 0: unsolicited
+    FETCH = 41  # request for committed entries from an index on
+    PIECE = 42  # a chunk of a committed entry
+    BASE = 43  # a chunk of the base (snapshot)
+    PROPOSE = 44  # a chunk of a proposal, to the leader
+    PROPOSED = 45  # bytes received of it, and its status
+    READ = 46  # request for a read index that a quorum confirms
+    READY = 47  # the read index
+
+
+# flags: knows no history; is leaving; has a disk; last datagram of a burst; yes
 BLANK, RETIRING, HAS_DISK, END_OF_BURST, YES = 1, 2, 4, 8, 16
-LOST_ENTRIES = 32  # a flag: the receiver lacks what it said it had, and has to take another birth
+LOST_ENTRIES = 32  # flag: the receiver lost entries that it acknowledged: it must change its incarnation
 
 FIELDS: dict[Kind, tuple[struct.Struct, tuple[str, ...]]] = {
     Kind.APPEND: (
@@ -85,14 +86,20 @@
     Kind.READY: (struct.Struct(">II"), ("token", "index")),
 }
 CHUNKED = (Kind.APPEND, Kind.PIECE, Kind.BASE, Kind.PROPOSE)
-CHUNK = MOST - SEAL - HEADER.size - max(FIELDS[kind][0].size for kind in CHUNKED)  # bytes that always fit
+# Bytes of a chunk that fit into a datagram of any kind.
+CHUNK = MOST - SEAL - HEADER.size - max(FIELDS[kind][0].size for kind in CHUNKED)
 
 
 @dataclass(slots=True)
 class Message:
-    """`prev`: the term at the index before (APPEND), of the last entry (votes), or an index of a base
-    (FETCH).
-    `of`: the term of the entry, an age in milliseconds (ANSWER), the version that a proposal builds on."""
+    """A datagram in decoded form; each kind uses the fields listed in FIELDS.
+
+    `prev`: the term at the index before (APPEND), the term of the last entry (VOTE), or the index of a base
+    (FETCH). `of`: the term of the entry (APPEND, PIECE) or of the last entry (PREVOTE), an age in
+    milliseconds (ANSWER), the version that a proposal builds on (PROPOSE). `sort`: the kind of the entry, or
+    the status of a proposal (PROPOSED). `chain`: the chain digest at the entry, or a digest of the whole
+    (BASE, PROPOSE). `number` and `birth`: those of the leader (ANSWER).
+    """
 
     kind: Kind
     sender: Seat
@@ -115,24 +122,27 @@
 
 
 def encode(message: Message, seal: Seal) -> bytes:
+    """Pack and seal a message."""
     layout, names = FIELDS[message.kind]
     head = HEADER.pack(
         VERSION, message.kind, seal.tag, *message.sender, message.flags, *message.epoch, message.term
     )
     data = head + layout.pack(*(getattr(message, name) for name in names)) + message.chunk
     if len(data) + SEAL > MOST:
-        raise ValueError(f"{len(data) + SEAL} bytes are no datagram")
+        raise ValueError(f"datagram of {len(data) + SEAL} bytes exceeds the limit of {MOST}")
     return data + seal.of(data)
 
 
 def is_ours(data: bytes) -> bool:
-    """Whether a datagram on the balancers' port is of the agreement; before are the view's kinds, behind
-    others'."""
+    """Whether a datagram on the port of the balancers belongs to consensus.
+
+    Lower kinds belong to the view, higher ones to protocols built on consensus.
+    """
     return len(data) > 1 and Kind.APPEND <= data[1] < NEXT_LAYER_KIND
 
 
 def decode(data: bytes, seal: Seal) -> Message:
-    """Raises Bad for whatever is no message of this fleet."""
+    """Unpack a message; raises Bad if it is not a valid one of this fleet."""
     kind, number, birth, flags, history, epoch, founder, term = unseal(data, seal, HEADER, HEADER.size)
     try:
         known = Kind(kind)
--- a/tests/agree/test_agree.py
+++ b/tests/agree/test_agree.py
@@ -161,7 +161,7 @@
 
 def test_a_rescue_is_refused_where_it_is_not_needed_or_somebody_has_more() -> None:
     world = begun(7, 7)
-    assert "well" in world.rescue(0)
+    assert "has a live leader" in world.rescue(0)
     behind = next(n for n in range(7) if (n, world.core(n).shared.birth) not in world.core(0).voter.seats.all)
     world.groups = [frozenset({behind}), frozenset(others(world, behind))]
     for n in range(3):
