--- a/dykeshift/agree/__init__.py
+++ b/dykeshift/agree/__init__.py
@@ -1,1 +1,1 @@
-"""One numbered history of changes that balancers share (docs/design/agree.md)."""
+"""Consensus on a replicated log of changes that the balancers share (docs/design/agree.md)."""
--- a/tests/agree/defects.py
+++ b/tests/agree/defects.py
@@ -1,5 +1,4 @@
-"""Defects put into the agreement on purpose, each by what it undoes; test_defects has the days that find
-them."""
+"""Seeded defects of consensus, by what each one breaks; `test_defects` lists what finds them."""
 
 from __future__ import annotations
 
@@ -12,11 +11,11 @@
 from dykeshift.agree.wire import Message, Seat
 from dykeshift.rig import agreement
 from dykeshift.view.table import Address
-from tests.seeded import Defect as Undo
+from tests.seeded import Defect
 from tests.seeded import patched as _patch
 
 
-def _forgets_its_vote(self: voting.Voter, now: int, message: Message, address: Address) -> None:
+def _vote_not_durable(self: voting.Voter, now: int, message: Message, address: Address) -> None:
     kept, self.vote = self.vote, None
     _on_vote(self, now, message, address)
     if message.term != self.term:
@@ -26,7 +25,7 @@
 _on_vote = voting.Voter.on_vote
 
 
-def _counts_old_terms(self: voting.Voter, now: int) -> None:
+def _counts_entries_of_old_terms(self: voting.Voter, now: int) -> None:
     if self.lead is not None:
         self.lead.first = min(self.lead.first, self.shared.commit + 1)
     _commit(self, now)
@@ -35,11 +34,13 @@
 _commit = voting.Voter.commit
 
 
-def _stands_at_once(self: voting.Voter, now: int) -> None:
+def _no_prevote(self: voting.Voter, now: int) -> None:
     self.stand(now)
 
 
-def _lease_from_the_answer(self: spread.Dissemination, now: int, message: Message, address: Address) -> None:
+def _lease_from_answer_arrival(
+    self: spread.Dissemination, now: int, message: Message, address: Address
+) -> None:
     if message.token in self.queries:
         self.queries[message.token] = now
     _on_answer(self, now, message, address)
@@ -52,8 +53,8 @@
     return 0
 
 
-def _same_birth(self: core.Agree, *args: Any, **more: Any) -> None:
-    """Whoever comes back from nothing takes itself for who it was."""
+def _same_incarnation(self: core.Agree, *args: Any, **more: Any) -> None:
+    """A process that restarts without state takes itself for the one that it was."""
     _init(self, *args, **more)
     self.shared.birth = self.shared.number + 1
 
@@ -61,14 +62,14 @@
 _init = core.Agree.__init__
 
 
-def _early(
+def _incomplete_body(
     self: pieces.Assembly, name: tuple[int, ...], length: int, offset: int, chunk: bytes
 ) -> bytes | None:
-    """Shows what has arrived, padded."""
+    """Exposes what has arrived, padded."""
     return (bytes(offset) + chunk).ljust(length, b"\0")
 
 
-def _any_version(
+def _expected_version_ignored(
     self: proposals.Proposals, now: int, ident: int, expect: int, body: bytes, address: Address | None
 ) -> bool:
     return _take(self, now, ident, self.shared.log.version, body, address)
@@ -77,19 +78,19 @@
 _take = proposals.Proposals._append
 
 
-def _counts_what_is_not_kept(self: state.Shared) -> int:
+def _counts_undurable_entries(self: state.Shared) -> int:
     return self.log.last
 
 
-def _new_ones_alone(self: seats.Seats, yes: Callable[[Seat], bool]) -> bool:
+def _quorum_of_new_seats_only(self: seats.Seats, yes: Callable[[Seat], bool]) -> bool:
     return seats.majority(self.now, yes)
 
 
-def _new_ones_have(self: seats.Seats, has: Callable[[Seat], int]) -> int:
+def _index_of_new_seats_only(self: seats.Seats, has: Callable[[Seat], int]) -> int:
     return sorted(map(has, self.now))[(len(self.now) - 1) // 2]
 
 
-def _both(one: Undo, other: Undo) -> Undo:
+def _both(one: Defect, other: Defect) -> Defect:
     def undo(patch: pytest.MonkeyPatch) -> None:
         one(patch)
         other(patch)
@@ -97,22 +98,22 @@
     return undo
 
 
-def _votes_for_anybody(self: voting.Voter, index: int, term: int) -> bool:
+def _votes_for_any_log(self: voting.Voter, index: int, term: int) -> bool:
     return True
 
 
-def _reads_alone(self: proposals.Proposals, now: int, token: int, address: Address | None) -> None:
+def _read_without_round(self: proposals.Proposals, now: int, token: int, address: Address | None) -> None:
     if self.voter.lead is not None:
         self.unconfirmed_reads.append(proposals.UnconfirmedRead(0, self.shared.commit, token, address))
         self.answer_confirmed_reads(now)
 
 
-def _not_its_own(self: log.Log, ident: int, commit: int) -> int | None:
+def _proposal_not_recognized(self: log.Log, ident: int, commit: int) -> int | None:
     return None
 
 
-def _reads_on(self: agreement.Peer) -> None:
-    """A spoilt file is taken as far as it goes."""
+def _corrupt_file_used(self: agreement.Peer) -> None:
+    """Uses the part of a file before its lost records."""
     assert self.disk is not None
     if self.disk.hole:
         self.disk.hole = False
@@ -123,12 +124,12 @@
 _recover = agreement.Peer._recover
 
 
-def _one_less(count: Any, yes: Callable[[Seat], bool]) -> bool:
+def _one_below_majority(count: Any, yes: Callable[[Seat], bool]) -> bool:
     return 2 * sum(map(yes, count)) >= len(count) - 1
 
 
-def _sends_first(self: agreement.Peer, out: state.Out) -> state.Out:
-    """Says what it has not kept yet."""
+def _sends_before_durable(self: agreement.Peer, out: state.Out) -> state.Out:
+    """Sends what is not durable yet."""
     if self.disk is not None:
         _through(self, [])
         return out
@@ -139,31 +140,32 @@
 
 
 def _never_fenced(self: core.Agree, now: int, message: Message, address: Address) -> None:
-    """Goes on in its own epoch, whatever it hears."""
+    """Goes on in its own epoch, whatever it receives."""
     if self.shared.blank:
         _follow(self, now, message, address)
 
 
 _follow = core.Agree._on_later_epoch
 
-DEFECTS: dict[str, Undo] = {
-    "vote not kept": _patch(voting.Voter, "on_vote", _forgets_its_vote),
-    "an old term's entry committed by counting": _patch(voting.Voter, "commit", _counts_old_terms),
-    "no vote before the vote": _patch(voting.Voter, "_start_prevote", _stands_at_once),
-    "lease from the answer's arrival": _patch(spread.Dissemination, "on_answer", _lease_from_the_answer),
-    "lease without the age of what it stands on": _patch(spread.Dissemination, "_age", _lease_without_age),
-    "back from nothing under the same birth": _patch(core.Agree, "__init__", _same_birth),
-    "shown before it is whole": _patch(pieces.Assembly, "add", _early),
-    "expected version not checked": _patch(proposals.Proposals, "_append", _any_version),
-    "own copy counted before it is kept": _patch(state.Shared, "durable_index", _counts_what_is_not_kept),
-    "joint stage counts the new seats alone": _both(
-        _patch(seats.Seats, "quorum", _new_ones_alone), _patch(seats.Seats, "quorum_index", _new_ones_have)
+DEFECTS: dict[str, Defect] = {
+    "vote not durable": _patch(voting.Voter, "on_vote", _vote_not_durable),
+    "an old term's entry committed by counting": _patch(voting.Voter, "commit", _counts_entries_of_old_terms),
+    "no pre-vote round": _patch(voting.Voter, "_start_prevote", _no_prevote),
+    "lease from the answer's arrival": _patch(spread.Dissemination, "on_answer", _lease_from_answer_arrival),
+    "lease without the age in the answer": _patch(spread.Dissemination, "_age", _lease_without_age),
+    "restarted without state under the same incarnation": _patch(core.Agree, "__init__", _same_incarnation),
+    "exposed before it is complete": _patch(pieces.Assembly, "add", _incomplete_body),
+    "expected version not checked": _patch(proposals.Proposals, "_append", _expected_version_ignored),
+    "own log counted before it is durable": _patch(state.Shared, "durable_index", _counts_undurable_entries),
+    "joint quorum counts the new seats only": _both(
+        _patch(seats.Seats, "quorum", _quorum_of_new_seats_only),
+        _patch(seats.Seats, "quorum_index", _index_of_new_seats_only),
     ),
-    "a vote for a shorter log": _patch(voting.Voter, "_log_up_to_date", _votes_for_anybody),
-    "a read without a round": _patch(proposals.Proposals, "_register_read", _reads_alone),
-    "a proposal not known again": _patch(log.Log, "committed_version", _not_its_own),
-    "a spoilt file read on": _patch(agreement.Peer, "_recover", _reads_on),
-    "one less than a majority": _patch(seats, "majority", _one_less),
-    "said before it is kept": _patch(agreement.Peer, "_through", _sends_first),
-    "an old epoch goes on": _patch(core.Agree, "_on_later_epoch", _never_fenced),
+    "a vote for a shorter log": _patch(voting.Voter, "_log_up_to_date", _votes_for_any_log),
+    "a read without a round": _patch(proposals.Proposals, "_register_read", _read_without_round),
+    "a repeated proposal not recognized": _patch(log.Log, "committed_version", _proposal_not_recognized),
+    "a file with lost records used": _patch(agreement.Peer, "_recover", _corrupt_file_used),
+    "one below a majority": _patch(seats, "majority", _one_below_majority),
+    "sent before it is durable": _patch(agreement.Peer, "_through", _sends_before_durable),
+    "an old epoch goes on after fencing": _patch(core.Agree, "_on_later_epoch", _never_fenced),
 }
--- a/tests/agree/test_defects.py
+++ b/tests/agree/test_defects.py
@@ -1,4 +1,4 @@
-"""Each seeded defect of the agreement is found: by the seed of a drawn day, or by the named test."""
+"""Each seeded defect of consensus is found, by the simulated run of a seed or by the named test."""
 
 from __future__ import annotations
 
@@ -10,29 +10,27 @@
 from tests.seeded import defect_tests
 
 SEEDS: dict[str, int] = {
-    "vote not kept": 4,
-    "lease without the age of what it stands on": 4,
-    "back from nothing under the same birth": 1,
-    "shown before it is whole": 0,
+    "vote not durable": 4,
+    "lease without the age in the answer": 4,
+    "restarted without state under the same incarnation": 1,
+    "exposed before it is complete": 0,
     "expected version not checked": 0,
     "a vote for a shorter log": 0,
     "a read without a round": 8,
-    "one less than a majority": 0,
-    "a proposal not known again": 0,
+    "one below a majority": 0,
+    "a repeated proposal not recognized": 0,
     "an old term's entry committed by counting": 33,
 }
 TESTS: dict[str, Callable[[], None]] = {
-    "no vote before the vote": test_agree.test_who_was_cut_off_comes_back_without_an_election,
-    "own copy counted before it is kept": lambda: test_agree.test_nothing_counts_before_it_is_kept("alone"),
-    "said before it is kept": lambda: test_agree.test_nothing_counts_before_it_is_kept("follower"),
-    "a spoilt file read on": test_agree.test_a_spoilt_file_costs_the_birth_and_a_torn_end_does_not,
-    "joint stage counts the new seats alone": (
-        test_parts.test_any_two_majorities_of_a_change_have_somebody_in_common
+    "no pre-vote round": test_agree.test_partitioned_voter_rejoins_without_an_election,
+    "own log counted before it is durable": lambda: test_agree.test_nothing_is_counted_before_it_is_durable(
+        "alone"
     ),
-    "lease from the answer's arrival": (
-        test_agree.test_a_lease_counts_from_the_question_and_takes_the_age_of_the_answer_off
-    ),
-    "an old epoch goes on": test_agree.test_what_is_left_of_an_old_epoch_commits_nothing_once_it_has_heard,
+    "sent before it is durable": lambda: test_agree.test_nothing_is_counted_before_it_is_durable("follower"),
+    "a file with lost records used": test_agree.test_only_a_lost_record_changes_the_incarnation,
+    "joint quorum counts the new seats only": (test_parts.test_quorums_of_adjacent_configurations_intersect),
+    "lease from the answer's arrival": (test_agree.test_lease_starts_at_the_query_less_the_age_of_the_answer),
+    "an old epoch goes on after fencing": test_agree.test_fenced_old_epoch_commits_nothing,
 }
 
 test_every_defect_has_its_finder, test_the_defect_is_found = defect_tests(
--- a/tests/agree/test_parts.py
+++ b/tests/agree/test_parts.py
@@ -1,5 +1,4 @@
-"""The parts of the agreement by themselves: bytes, seats, log, records, checker of histories, keeping
-first."""
+"""The parts of consensus: datagrams, seats, log, records, linearizability checker, runner."""
 
 from __future__ import annotations
 
@@ -49,7 +48,7 @@
 
 
 @given(messages())
-def test_a_message_is_read_as_it_was_written(message: Message) -> None:
+def test_message_round_trip(message: Message) -> None:
     data = encode(message, SEAL)
     assert len(data) <= MOST and decode(data, SEAL) == message
     for other in (Seal("lifttrail", b""), Seal("another", b"key")):
@@ -58,7 +57,7 @@
 
 
 @given(st.binary(max_size=300), messages(), st.integers(0, 255), st.integers(1, 255))
-def test_any_bytes_end_in_a_message_or_in_its_error(
+def test_any_bytes_decode_to_a_message_or_raise_bad(
     data: bytes, message: Message, at: int, flip: int
 ) -> None:
     whole = bytearray(encode(message, SEAL))
@@ -69,13 +68,13 @@
         assert str(found.value) in REASONS
     spoilt = bytes(whole[:-8])
     try:
-        decode(spoilt + SEAL.of(spoilt), SEAL)  # sealed by somebody of the fleet, and yet nonsense
+        decode(spoilt + SEAL.of(spoilt), SEAL)  # malformed, but with a valid MAC
     except Bad as exc:
         assert str(exc) in REASONS
 
 
 @given(st.binary(max_size=2000), st.randoms(use_true_random=False))
-def test_pieces_in_any_order_make_the_whole_once(body: bytes, rng: Random) -> None:
+def test_chunks_in_any_order_are_reassembled(body: bytes, rng: Random) -> None:
     assembly, pieces = Assembly(), [(n, body[n : n + CHUNK]) for n in range(0, max(1, len(body)), CHUNK)]
     order = pieces * 3
     rng.shuffle(order)
@@ -85,7 +84,7 @@
     assert found and set(found) == {body}
 
 
-def test_any_two_majorities_of_a_change_have_somebody_in_common() -> None:
+def test_quorums_of_adjacent_configurations_intersect() -> None:
     now = seats.Seats(tuple((n, 1) for n in range(5)))
     stages = [now, now.joint_change((0, 1), (0, 2)), now.joint_change((0, 1), (0, 2)).after_joint()]
     everybody = sorted(frozenset().union(*(s.all for s in stages)))
@@ -102,7 +101,7 @@
     "voters, places, numbers",
     [(5, 200, (0, 40, 80, 120, 160)), (5, 4, (0, 1, 2)), (3, 3, (0, 1, 2)), (3, 1, (0,)), (5, 0, ())],
 )
-def test_who_votes_at_first(voters: int, places: int, numbers: tuple[int, ...]) -> None:
+def test_initial_voters(voters: int, places: int, numbers: tuple[int, ...]) -> None:
     assert seats.drawn(voters, places) == numbers
 
 
@@ -113,7 +112,7 @@
     return log
 
 
-def test_a_log_that_begins_at_a_base_says_the_same_as_one_that_has_all() -> None:
+def test_log_from_a_base_agrees_with_the_complete_log() -> None:
     whole = _log(20)
     base = unpack_base(pack_base(whole.base_at(12, b"state")))
     rest = Log(base)
@@ -133,7 +132,7 @@
     assert rest.last == 20
 
 
-def test_records_read_back_are_the_life_that_was_written() -> None:
+def test_replayed_records_give_the_written_state() -> None:
     log = _log(6)
     records: list[tuple[Any, ...]] = [
         ("me", (7, 1, 9), 42),
@@ -163,33 +162,39 @@
 
 FIRST = call("propose", 0, 10, 1, b"a")
 HISTORIES = {
-    "one after the other": ([FIRST, call("read", 11, 12, 1, b"a")], True),
-    "a read of what is under way": ([FIRST, call("read", 5, 6, 1, b"a"), call("read", 7, 8, 1, b"a")], True),
-    "a read that goes back": ([FIRST, call("read", 5, 6, 1, b"a"), call("read", 7, 8, 0)], False),
-    "a read that is stale": ([FIRST, call("read", 11, 12, 0)], False),
-    "two committed as one": ([FIRST, call("propose", 1, 9, 1, b"b")], False),
-    "unknown, and seen later": ([call("propose", 0, FOREVER, 0, b"a"), call("read", 90, 91, 1, b"a")], True),
-    "unknown, seen and gone": (
+    "sequential": ([FIRST, call("read", 11, 12, 1, b"a")], True),
+    "a read that sees a concurrent proposal": (
+        [FIRST, call("read", 5, 6, 1, b"a"), call("read", 7, 8, 1, b"a")],
+        True,
+    ),
+    "a read older than an earlier read": ([FIRST, call("read", 5, 6, 1, b"a"), call("read", 7, 8, 0)], False),
+    "a stale read": ([FIRST, call("read", 11, 12, 0)], False),
+    "two proposals committed as one version": ([FIRST, call("propose", 1, 9, 1, b"b")], False),
+    "an unknown outcome, read later": (
+        [call("propose", 0, FOREVER, 0, b"a"), call("read", 90, 91, 1, b"a")],
+        True,
+    ),
+    "an unknown outcome, read and then gone": (
         [call("propose", 0, FOREVER, 0, b"a"), call("read", 50, 51, 1, b"a"), call("read", 60, 61, 0)],
         False,
     ),
-    "turned down, and seen": (
+    "refused, and read": (
         [call("propose", 0, 9, 1, b"b", ok=False), FIRST, call("read", 11, 12, 1, b"b")],
         False,
     ),
-    "turned down though nothing came between": ([call("propose", 0, 9, 0, b"b", ok=False)], False),
-    "a body nobody proposed": ([FIRST, call("read", 11, 12, 1, b"z")], False),
-    "a version left out": ([FIRST, call("propose", 11, 12, 3, b"c", 2)], False),
+    "refused without a competing proposal": ([call("propose", 0, 9, 0, b"b", ok=False)], False),
+    "a body that was never proposed": ([FIRST, call("read", 11, 12, 1, b"z")], False),
+    "a skipped version": ([FIRST, call("propose", 11, 12, 3, b"c", 2)], False),
 }
 
 
 @pytest.mark.parametrize("name", HISTORIES)
-def test_the_checker_finds_what_could_not_have_been(name: str) -> None:
+def test_checker_rejects_histories_that_are_not_linearizable(name: str) -> None:
     operations, possible = HISTORIES[name]
     assert (check(operations) == "") is possible
 
 
-def test_the_shell_keeps_before_it_sends_and_says_nothing_a_failed_disk_did_not_keep() -> None:
+def test_runner_persists_before_it_sends_and_sends_nothing_after_a_disk_failure() -> None:
     async def main() -> None:
         sent: list[Any] = []
         waiting: list[Any] = []
@@ -221,7 +226,7 @@
     asyncio.run(main())
 
 
-def test_a_log_of_changes_of_seats_knows_them_at_each_index() -> None:
+def test_log_knows_the_seats_at_each_index() -> None:
     log = Log(Base(now=((0, 1),)))
     log.append(Entry(1, Sort.SEATS, 0, pack_seats(seats.Seats(((0, 1), (1, 1)), ((0, 1),)))))
     log.append(Entry(1, Sort.SEATS, 0, pack_seats(seats.Seats(((0, 1), (1, 1))))))
--- a/tests/agree/test_stateful.py
+++ b/tests/agree/test_stateful.py
@@ -1,5 +1,8 @@
-"""Hypothesis drives a few processes through whatever it thinks of; every step keeps the promises, every
-history fits."""
+"""Hypothesis drives a few processes through random faults.
+
+Every step keeps the invariants, and every history is linearizable. The names of the rules decide in which
+order Hypothesis draws them.
+"""
 
 from __future__ import annotations
 
@@ -77,7 +80,7 @@
     def teardown(self) -> None:
         self.world.run(3)
         assert self.world.broken == []
-        if self.world.states["founded"] == 1:  # else all was lost, and began anew
+        if self.world.states["founded"] == 1:  # otherwise all state was lost and a new history started
             assert check(self.world.operations) == ""
 
 
