--- a/dykeshift/agree/core.py
+++ b/dykeshift/agree/core.py
@@ -67,7 +67,7 @@
     ) -> None:
         """`places`: the address of each number of the roster, its own too.
 
-        `disk`: whether records are kept.
+        `disk`: whether records are persisted.
         """
         self.shared = Shared(options, seal, number, places, rng, machine or Latest(), disk)
         self.voter = Voter(self.shared)
@@ -328,7 +328,10 @@
         self.blank_incarnations.clear()
 
     def _change_incarnation(self, now: int) -> None:
-        """Draw another incarnation, which has promised nothing. Committed entries stay."""
+        """Draw another incarnation, under which no vote or acknowledgement was given.
+
+        Committed entries stay.
+        """
         shared = self.shared
         if shared.log.last > shared.commit:
             shared.truncate(shared.commit + 1)
--- a/dykeshift/agree/proposals.py
+++ b/dykeshift/agree/proposals.py
@@ -101,7 +101,7 @@
         `wait`: nanoseconds until the answer is "not known". The answer appears in `answers`, once.
         """
         if len(body) > LONGEST:
-            self.answers[ident] = Answer(REFUSED, self.version(), f"it has more than {LONGEST} bytes")
+            self.answers[ident] = Answer(REFUSED, self.version(), f"the change has more than {LONGEST} bytes")
         elif len(self.open) >= MAX_PENDING:
             self.answers[ident] = Answer(REFUSED, self.version(), "too many proposals are under way here")
         else:
@@ -110,7 +110,7 @@
             self._forward_proposal(now, ident)
 
     def read(self, now: int, wait: int, token: int) -> None:
-        """Accept a read; its result appears in `results`, once."""
+        """Accept a read; its result appears in `read_results`, once."""
         if len(self.pending_reads) >= MAX_PENDING:
             self.read_results[token] = None
             return
