--- a/dykeshift/agree/keep.py
+++ b/dykeshift/agree/keep.py
@@ -1,8 +1,9 @@
-"""What a voter with a disk keeps: its records as payloads of the project's log, and what a log file is worth.
+"""Persistence of a voter: its records as payloads of the project's log file, and the validity of such a file.
 
-A torn tail is what was never synced, so nobody was told of it: the process goes on under its birth. A hole is
-a record that was synced and is lost: what it promised is no longer known. Such a process takes another birth
-and keeps nothing of the file but that it was there; its seat comes back by a majority of the others.
+A torn tail was never synced, so no message depends on it: the process goes on under its incarnation. A hole
+is a record that was synced and is lost, so it is no longer known which votes and acknowledgements were given.
+Such a process takes another incarnation and uses nothing of the file but the fact that it existed; it gets a
+seat again through a majority of the others.
 """
 
 from __future__ import annotations
@@ -13,92 +14,96 @@
 import msgspec
 
 from dykeshift.agree.log import Base, Entry, Log, pack_base, unpack_base
-from dykeshift.agree.state import NOWHERE, Record
+from dykeshift.agree.state import NO_EPOCH, Record
 from dykeshift.agree.wire import Epoch, Seat
 
-KIND = b"AG"  # of the log's payloads
+KIND = b"AG"  # kind of the payloads in the log file
 
 
 class Spoilt(Exception):
-    """The payloads are no whole life of a voter; the text says why."""
+    """The payloads are not the complete records of a voter; the text gives the reason."""
 
 
 @dataclass(slots=True)
 class Kept:
-    """A life as a disk holds it."""
+    """The durable state of a voter."""
 
     epoch: Epoch
     birth: int
     term: int
     vote: Seat | None
     log: Log
-    heard: Epoch = NOWHERE  # the latest epoch that it knew of
+    heard: Epoch = NO_EPOCH  # the latest epoch that it has heard of
 
 
 def pack(record: Record) -> bytes:
-    kind, *rest = record
+    """A record as a payload."""
+    kind, *values = record
     if kind == "entry":
-        entry: Entry = rest[0]
-        rest = [entry.term, int(entry.sort), entry.ident, entry.body]
+        entry: Entry = values[0]
+        values = [entry.term, int(entry.sort), entry.ident, entry.body]
     elif kind == "base":
-        rest = [pack_base(rest[0])]
-    return msgspec.msgpack.encode((kind, *rest))
+        values = [pack_base(values[0])]
+    return msgspec.msgpack.encode((kind, *values))
 
 
 def replay(payloads: list[bytes]) -> Kept | None:
-    """None: nothing was ever kept. Spoilt: these can't have been written in this order."""
-    kept: Kept | None = None
+    """The state after these payloads; None: there are none.
+
+    Raises Spoilt if they are not valid in this order.
+    """
+    state: Kept | None = None
     for payload in payloads:
         try:
             kind, *rest = msgspec.msgpack.decode(payload)
-            kept = _take(kept, kind, rest)
+            state = _apply(state, kind, rest)
         except (msgspec.DecodeError, ValueError, TypeError, IndexError) as exc:
-            raise Spoilt(f"a record is no record: {exc}") from None
-    return kept
+            raise Spoilt(f"invalid record: {exc}") from None
+    return state
 
 
-def _take(kept: Kept | None, kind: str, rest: list[Any]) -> Kept:
+def _apply(state: Kept | None, kind: str, values: list[Any]) -> Kept:
     if kind == "me":
-        epoch = _epoch(rest[0])
-        if kept is None:
-            return Kept(epoch, int(rest[1]), 0, None, Log(Base()))
-        if (epoch, rest[1]) != (kept.epoch, kept.birth):
-            log = kept.log if kept.epoch == epoch else Log(Base())
-            return Kept(epoch, int(rest[1]), 0, None, log, kept.heard)
-        return kept
-    if kept is None:
-        raise ValueError("it begins in the middle")
+        epoch = _parse_epoch(values[0])
+        if state is None:
+            return Kept(epoch, int(values[1]), 0, None, Log(Base()))
+        if (epoch, values[1]) != (state.epoch, state.birth):
+            log = state.log if state.epoch == epoch else Log(Base())
+            return Kept(epoch, int(values[1]), 0, None, log, state.heard)
+        return state
+    if state is None:
+        raise ValueError("the first record is not the identity")
     if kind == "heard":
-        kept.heard = _epoch(rest[0])
+        state.heard = _parse_epoch(values[0])
     elif kind == "vote":
-        kept.term, kept.vote = int(rest[0]), (rest[1][0], rest[1][1]) if rest[1] else None
+        state.term, state.vote = int(values[0]), (values[1][0], values[1][1]) if values[1] else None
     elif kind == "entry":
-        kept.log.append(Entry(*rest))
+        state.log.append(Entry(*values))
     elif kind == "cut":
-        kept.log.cut(rest[0])
+        state.log.truncate(values[0])
     elif kind == "base":
-        kept.log.begin_at(unpack_base(rest[0]))
+        state.log.reset_to_base(unpack_base(values[0]))
     else:
-        raise ValueError(f"{kind!r} is none")
-    return kept
+        raise ValueError(f"unknown record kind {kind!r}")
+    return state
 
 
-def _epoch(told: Any) -> Epoch:
-    history, number, founder = told
+def _parse_epoch(value: Any) -> Epoch:
+    history, number, founder = value
     return int(history), int(number), int(founder)
 
 
-def whole(kept: Kept) -> list[bytes]:
-    """The records that this life comes down to, for a file that is written anew."""
+def whole(state: Kept) -> list[bytes]:
+    """The fewest records that give this state, for a file that is rewritten."""
     records: list[Record] = [
-        ("me", kept.epoch, kept.birth),
-        ("heard", kept.heard),
-        ("base", kept.log.base),
-        ("vote", kept.term, kept.vote),
+        ("me", state.epoch, state.birth),
+        ("heard", state.heard),
+        ("base", state.log.base),
+        ("vote", state.term, state.vote),
     ]
-    return [pack(record) for record in records + [("entry", entry) for entry in kept.log.entries]]
+    return [pack(record) for record in records + [("entry", entry) for entry in state.log.entries]]
 
 
-def known(kept: Kept) -> bool:
-    """Whether it belonged to a history."""
-    return kept.epoch != NOWHERE
+def known(state: Kept) -> bool:
+    """Whether the voter belonged to a history."""
+    return state.epoch != NO_EPOCH
