--- a/dykeshift/shares/__init__.py
+++ b/dykeshift/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that balancers share: parts of them, lent among one another for a time."""
+"""Limits shared by all balancers: each has an allocation and lends unused units to others by leases."""
--- a/dykeshift/shares/loans.py
+++ b/dykeshift/shares/loans.py
@@ -1,20 +1,21 @@
-"""One balancer's part of each limit, and what it lends and borrows of it: escrow in pairs, by leases.
-
-Theory of operation. A limit is a number of units that all balancers together may use. Each place of the fleet
-has a *deed* of it, told from outside (`on_deed`); the deeds of all are the limit at most. Who needs more than
-it has asks others; who has more than it needs lends. The giver lowers before the taker raises: what it lends
-is not its own from the moment it says so, whether or not the word arrives. A loan ends by the taker's own
-clock `lease` after it *asked* (less drift), and comes back to the giver `lease` after it *granted* (more
-drift), so the taker's end lies before the giver's beginning with no word between them, however late any word
-was.
-
-Promises at every instant, with deeds as they are told:
- 1. What all may use together (`usable`) is at most the sum of the deeds.
- 2. A loan is taken up once, however often its word comes, and never after its end.
- 3. Back from nothing a balancer does not lend, and uses its floor only, until whatever an earlier life of it
-    can have lent is over. The floor (a part of the deed) is never lent: nobody with clients starves.
- 4. Where a deed is lowered, what was lent beyond it ends within `settle`: whoever raises another's deed for
-    it waits for so long.
+"""One balancer's allocation of each limit, with units lent and borrowed by leases (pairwise escrow).
+
+A limit is a number of units that all balancers together may use. Each balancer has an allocation of it (its
+*deed*), set from outside by `on_deed`; the allocations add up to the limit at most. A balancer that needs
+more than it has asks others, and one that has more than it needs lends. The lender lowers its own part before
+the borrower raises its own: lent units are unavailable to the lender from the moment of the grant, whether or
+not the grant arrives. For the borrower a loan ends `lease` after its *request* (less drift), for the lender
+`lease` after its *grant* (plus drift), each by its own clock. So the borrower's end always lies before the
+lender's, without a message between them and however late messages are.
+
+Invariants, for the allocations that are set:
+ 1. The units that all balancers may use together (`usable`) are at most the sum of the allocations.
+ 2. A loan counts once, however often its grant arrives, and never after its end.
+ 3. After a start without state a balancer does not lend, and uses its floor only, until all loans of its
+    earlier incarnation have ended. The floor (a part of the allocation) is never lent, so no balancer with
+    clients is left without units.
+ 4. After an allocation is lowered, loans beyond it end within `settle`: wait that long before another
+    allocation is raised in return.
 """
 
 from __future__ import annotations
@@ -24,80 +25,82 @@
 from heapq import heappop, heappush
 from random import Random
 
-from dykeshift.shares.wire import Ask, Back, Grant, Message
+from dykeshift.shares.wire import Ask, Grant, Message, Return
 
 SECOND = 1_000_000_000
-ASKED = 3  # members asked at once for one limit
-OPEN = 256  # questions without an answer that are remembered
+PEERS_ASKED = 3  # balancers asked at once for one limit
+MAX_OPEN_REQUESTS = 256  # unanswered requests that are kept
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Times in nanoseconds; parts of a deed or of a need."""
+    """Parameters of the leases: times in nanoseconds, fractions of an allocation or a need."""
 
     lease: int = 5 * SECOND
     drift: float = 0.01
-    floor: float = 0.1  # of the deed, never lent
-    spare: float = 0.25  # of the own need, kept beside it
-    renew: float = 0.5  # of the lease, after which a loan that is still needed is asked for again
+    floor: float = 0.1  # fraction of the allocation that is never lent
+    headroom: float = 0.25  # fraction of the own need that is kept in addition
+    renew_after: float = 0.5  # fraction of the lease after which a loan that is still needed is renewed
 
     @property
-    def take(self) -> int:
-        """How long a loan lasts for the taker, by its clock."""
+    def borrower_term(self) -> int:
+        """How long a loan lasts for the borrower, by its clock."""
         return int(self.lease * (1 - 2 * self.drift))
 
     @property
     def settle(self) -> int:
-        """After how long it is the giver's again, by its clock."""
+        """How long until the units are available to the lender again, by its clock."""
         return int(self.lease * (1 + 2 * self.drift))
 
 
 @dataclass(slots=True)
 class Loan:
-    """Units of a limit, lent until `until` (nanoseconds)."""
+    """Units of a limit that are lent until `expires_at` (nanoseconds)."""
 
     limit: int
-    other: int  # number of the other balancer
+    peer: int  # number of the other balancer
     amount: int
-    until: int
-    asked: int = 0  # by the taker: when it was asked for last
+    expires_at: int
+    requested_at: int = 0  # at the borrower: time of the last request
 
 
 @dataclass(slots=True)
 class Holding:
-    """Of one limit."""
+    """This balancer's part of one limit: its allocation, its need, and the units lent and borrowed."""
 
     deed: int = 0
-    need: int = 0  # units that it would use now, told by the host
+    need: int = 0  # units that the host would use now
     lent: int = 0
     borrowed: int = 0
 
 
 @dataclass
 class Shares:
-    """One balancer's parts of all limits; times are monotonic nanoseconds."""
+    """The lender and borrower of one balancer, for all limits. Times are monotonic nanoseconds."""
 
     terms: Terms
     number: int
     rng: Random
     holdings: dict[int, Holding] = field(default_factory=dict)
-    lent: dict[tuple[int, int], Loan] = field(default_factory=dict)  # by the taker's birth and token
+    lent: dict[tuple[int, int], Loan] = field(default_factory=dict)  # by the borrower's birth and token
     borrowed: dict[int, Loan] = field(default_factory=dict)  # by token
-    asked: dict[int, tuple[int, Loan]] = field(default_factory=dict)  # by question: token, what was asked for
-    ends: list[tuple[int, bool, int, int]] = field(default_factory=list)  # heap: when, whether lent, its key
-    lends_from: int = 0
+    # By request id: token and requested loan.
+    open_requests: dict[int, tuple[int, Loan]] = field(default_factory=dict)
+    # Heap: time, whether lent, birth, token.
+    expirations: list[tuple[int, bool, int, int]] = field(default_factory=list)
+    lending_from: int = 0
 
     def __post_init__(self) -> None:
         self.birth = self.rng.getrandbits(32) or 1
 
     def start(self, now: int) -> None:
-        """Begin; nothing is lent before what an earlier life lent has settled."""
-        self.lends_from = now + self.terms.settle
+        """Start; nothing is lent until the loans of an earlier incarnation have ended."""
+        self.lending_from = now + self.terms.settle
 
-    # ---- what the host tells and asks ----
+    # ---- calls of the host ----
 
     def on_deed(self, now: int, limit: int, units: int) -> None:
-        """Set this place's own part of a limit."""
+        """Set this balancer's allocation of a limit."""
         self.holdings.setdefault(limit, Holding()).deed = units
 
     def on_need(self, limit: int, units: int) -> None:
@@ -108,78 +111,79 @@
     def usable(self, now: int, limit: int) -> int:
         """Units that this balancer may use now."""
         self._expire(now)
-        held = self.holdings.get(limit)
-        if held is None:
+        holding = self.holdings.get(limit)
+        if holding is None:
             return 0
-        own = held.deed - held.lent if now >= self.lends_from else self._floor(held)
-        return max(0, own) + held.borrowed
+        own = holding.deed - holding.lent if now >= self.lending_from else self._floor(holding)
+        return max(0, own) + holding.borrowed
 
-    def _floor(self, held: Holding) -> int:
-        return int(held.deed * self.terms.floor)
+    def _floor(self, holding: Holding) -> int:
+        return int(holding.deed * self.terms.floor)
 
     # ---- time ----
 
     def on_tick(self, now: int, alive: Iterable[int]) -> list[tuple[Message, int]]:
-        """Ask for what is missing, again for what runs out, and give back what is not needed."""
+        """Request missing units, renew loans that run out, and return units that are not needed."""
         self._expire(now)
         others = sorted(set(alive) - {self.number})
         out = list[tuple[Message, int]]()
-        for limit, held in self.holdings.items():
-            missing = held.need - self.usable(now, limit)
+        for limit, holding in self.holdings.items():
+            missing = holding.need - self.usable(now, limit)
             if missing > 0 and others:
                 out += self._ask(now, limit, missing, others)
-            elif held.borrowed and -missing > self.terms.spare * held.need:
-                out += self._give_back(now, limit, -missing - int(self.terms.spare * held.need))
+            elif holding.borrowed and -missing > self.terms.headroom * holding.need:
+                out += self._give_back(now, limit, -missing - int(self.terms.headroom * holding.need))
         return out + self._renew(now)
 
     def _ask(self, now: int, limit: int, missing: int, others: list[int]) -> list[tuple[Message, int]]:
-        lending = {loan.other for loan in self.borrowed.values() if loan.limit == limit}
-        rest = [n for n in others if n not in lending] or others  # who lends already has lent what it could
-        chosen = self.rng.sample(rest, min(ASKED, len(rest)))
+        lenders = {loan.peer for loan in self.borrowed.values() if loan.limit == limit}
+        # A current lender has lent what it could.
+        candidates = [n for n in others if n not in lenders] or others
+        chosen = self.rng.sample(candidates, min(PEERS_ASKED, len(candidates)))
         each = -(-missing // len(chosen))
         out = list[tuple[Message, int]]()
-        for other in chosen:
+        for peer in chosen:
             token = self.rng.getrandbits(32) or 1
-            out.append((self._question(now, token, limit, other, each), other))
+            out.append((self._request(now, token, limit, peer, each), peer))
         return out
 
-    def _question(self, now: int, token: int, limit: int, other: int, amount: int) -> Ask:
-        question = self.rng.getrandbits(32) or 1
-        self.asked[question] = token, Loan(limit, other, amount, 0, now)
-        if len(self.asked) > OPEN:
-            del self.asked[next(iter(self.asked))]
-        return Ask(self.number, self.birth, token, question, limit, amount)
+    def _request(self, now: int, token: int, limit: int, peer: int, amount: int) -> Ask:
+        request_id = self.rng.getrandbits(32) or 1
+        self.open_requests[request_id] = token, Loan(limit, peer, amount, 0, now)
+        if len(self.open_requests) > MAX_OPEN_REQUESTS:
+            del self.open_requests[next(iter(self.open_requests))]
+        return Ask(self.number, self.birth, token, request_id, limit, amount)
 
     def _renew(self, now: int) -> list[tuple[Message, int]]:
         out = list[tuple[Message, int]]()
         for token, loan in self.borrowed.items():
-            held = self.holdings[loan.limit]
-            needed = held.need > max(0, held.deed - held.lent)
-            if needed and now - loan.asked >= self.terms.renew * self.terms.lease:
-                loan.asked = now
-                out.append((self._question(now, token, loan.limit, loan.other, loan.amount), loan.other))
+            holding = self.holdings[loan.limit]
+            needed = holding.need > max(0, holding.deed - holding.lent)
+            if needed and now - loan.requested_at >= self.terms.renew_after * self.terms.lease:
+                loan.requested_at = now
+                out.append((self._request(now, token, loan.limit, loan.peer, loan.amount), loan.peer))
         return out
 
-    def _give_back(self, now: int, limit: int, over: int) -> list[tuple[Message, int]]:
-        """Whole loans only: it is the giver's once this balancer has stopped to use it, which it has."""
+    def _give_back(self, now: int, limit: int, excess: int) -> list[tuple[Message, int]]:
+        """Return whole loans only; they count as unused here before the message is sent."""
         out = list[tuple[Message, int]]()
         for token, loan in list(self.borrowed.items()):
-            if loan.limit == limit and loan.amount <= over:
-                over -= loan.amount
+            if loan.limit == limit and loan.amount <= excess:
+                excess -= loan.amount
                 self._drop(token)
-                self.asked = {q: one for q, one in self.asked.items() if one[0] != token}
-                out.append((Back(self.number, self.birth, token), loan.other))
+                self.open_requests = {q: one for q, one in self.open_requests.items() if one[0] != token}
+                out.append((Return(self.number, self.birth, token), loan.peer))
         return out
 
     def _expire(self, now: int) -> None:
-        while self.ends and self.ends[0][0] <= now:
-            _, lent, birth, token = heappop(self.ends)
+        while self.expirations and self.expirations[0][0] <= now:
+            _, lent, birth, token = heappop(self.expirations)
             if lent:
                 loan = self.lent.get((birth, token))
-                if loan is not None and loan.until <= now:
+                if loan is not None and loan.expires_at <= now:
                     self.holdings[loan.limit].lent -= loan.amount
                     del self.lent[birth, token]
-            elif token in self.borrowed and self.borrowed[token].until <= now:
+            elif token in self.borrowed and self.borrowed[token].expires_at <= now:
                 self._drop(token)
 
     def _drop(self, token: int) -> None:
@@ -189,7 +193,7 @@
     # ---- messages ----
 
     def on_message(self, now: int, message: Message) -> list[tuple[Message, int]]:
-        """Take a message; returns answers, each with the number of its receiver."""
+        """Handle a message; returns answers, each with the number of its receiver."""
         self._expire(now)
         if isinstance(message, Ask):
             return self._on_ask(now, message)
@@ -200,40 +204,42 @@
         return []
 
     def _on_ask(self, now: int, ask: Ask) -> list[tuple[Message, int]]:
-        held = self.holdings.get(ask.limit)
-        if held is None or now < self.lends_from:
+        holding = self.holdings.get(ask.limit)
+        if holding is None or now < self.lending_from:
             return []
         key = (ask.birth, ask.token)
         loan = self.lent.get(key)
         if loan is None:
-            kept = max(self._floor(held), int(held.need * (1 + self.terms.spare)))
-            amount = min(ask.amount, held.deed - held.lent - kept)
+            reserved = max(self._floor(holding), int(holding.need * (1 + self.terms.headroom)))
+            amount = min(ask.amount, holding.deed - holding.lent - reserved)
             if amount <= 0:
                 return []
             loan = self.lent[key] = Loan(ask.limit, ask.number, amount, 0)
-            held.lent += amount
-        elif held.deed < held.lent or held.need > held.deed - held.lent:
-            return []  # needed here: it ends as it was said to
-        loan.until = now + self.terms.settle
-        heappush(self.ends, (loan.until, True, *key))
-        return [(Grant(self.number, self.birth, ask.token, ask.question, loan.amount), ask.number)]
+            holding.lent += amount
+        elif holding.deed < holding.lent or holding.need > holding.deed - holding.lent:
+            return []  # needed here: not renewed, the loan ends as granted
+        loan.expires_at = now + self.terms.settle
+        heappush(self.expirations, (loan.expires_at, True, *key))
+        return [(Grant(self.number, self.birth, ask.token, ask.request_id, loan.amount), ask.number)]
 
     def _on_grant(self, now: int, grant: Grant) -> None:
-        token, asked = self.asked.pop(grant.question, (0, None))
-        if asked is None or asked.other != grant.number or token != grant.token:
+        token, request = self.open_requests.pop(grant.request_id, (0, None))
+        if request is None or request.peer != grant.number or token != grant.token:
             return
-        until = asked.asked + self.terms.take
-        if now >= until:
+        expires_at = request.requested_at + self.terms.borrower_term
+        if now >= expires_at:
             return
-        held = self.borrowed.get(grant.token)
-        if held is None:
-            self.borrowed[grant.token] = Loan(asked.limit, grant.number, grant.amount, until, asked.asked)
-            self.holdings[asked.limit].borrowed += grant.amount
+        loan = self.borrowed.get(grant.token)
+        if loan is None:
+            self.borrowed[grant.token] = Loan(
+                request.limit, grant.number, grant.amount, expires_at, request.requested_at
+            )
+            self.holdings[request.limit].borrowed += grant.amount
         else:
-            held.until = max(held.until, until)
-        heappush(self.ends, (until, False, 0, grant.token))
+            loan.expires_at = max(loan.expires_at, expires_at)
+        heappush(self.expirations, (expires_at, False, 0, grant.token))
 
-    def _on_back(self, back: Back) -> None:
+    def _on_back(self, back: Return) -> None:
         loan = self.lent.pop((back.birth, back.token), None)
         if loan is not None:
             self.holdings[loan.limit].lent -= loan.amount
--- a/dykeshift/shares/wire.py
+++ b/dykeshift/shares/wire.py
@@ -1,13 +1,13 @@
-"""Datagrams of the shares, byte by byte, on the view's port (kinds from 72 on).
+"""Wire format of the datagrams of `shares`, on the port of the view (kinds from 72).
 
-     0  version (1), kind (1), tag of the fleet's name (2), as the view's
+     0  version (1), kind (1), tag of the fleet's name (2), as in the view
      4  number of the sender, 2 bytes      6  birth of the sender, 4 bytes      10  token of the loan, 4 bytes
-    14  ASK: question 4, limit 4, amount 4;  GRANT: question 4, amount 4;  BACK: nothing
-    -8  seal, as the view's
+    14  ASK: request id 4, limit 4, amount 4;  GRANT: request id 4, amount 4;  BACK: nothing
+    -8  seal, as in the view
 
-Played again, an ASK is answered as before or, after its loan has ended, with a loan that nobody takes up and
-that comes back by itself; a GRANT answers one question, once (a loan that is asked for again has a question
-of its own: an older answer must not make it longer); a BACK ends a loan that its taker has given up.
+Replays are harmless. A replayed ASK gets the same answer or, after its loan has ended, a loan that nobody
+uses and that expires. A GRANT answers one request id, once; each renewal has an id of its own, so that an
+older answer can't extend the loan. A replayed BACK ends a loan that its borrower has already returned.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 HEAD = struct.Struct(">BBHHII")
 ASK, GRANT = struct.Struct(">III"), struct.Struct(">II")
-FIRST = 72
+FIRST_KIND = 72
 
 
 class Kind(IntEnum):
@@ -33,52 +33,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """The wish to borrow `amount` units of a limit, or to go on borrowing them."""
+    """A request to borrow `amount` units of a limit, or to renew that loan."""
 
     number: int
     birth: int
     token: int
-    question: int
+    request_id: int
     limit: int
     amount: int
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The answer to an Ask: so many units are lent."""
+    """The answer to an Ask: `amount` units are lent."""
 
     number: int
     birth: int
     token: int
-    question: int
+    request_id: int
     amount: int
 
 
 @dataclass(frozen=True, slots=True)
-class Back:
-    """The end of a loan before its time."""
+class Return:
+    """Returns a loan before it expires."""
 
     number: int
     birth: int
     token: int
 
 
-Message = Ask | Grant | Back
+Message = Ask | Grant | Return
 
 
 def encode(message: Message, seal: Seal) -> bytes:
-    """The datagram of a message, sealed."""
+    """Encodes a message as a datagram with its seal."""
     kind, body = Kind.BACK, b""
     if isinstance(message, Ask):
-        kind, body = Kind.ASK, ASK.pack(message.question, message.limit, message.amount)
+        kind, body = Kind.ASK, ASK.pack(message.request_id, message.limit, message.amount)
     elif isinstance(message, Grant):
-        kind, body = Kind.GRANT, GRANT.pack(message.question, message.amount)
+        kind, body = Kind.GRANT, GRANT.pack(message.request_id, message.amount)
     data = HEAD.pack(VERSION, kind, seal.tag, message.number, message.birth, message.token) + body
     return data + seal.of(data)
 
 
 def decode(data: bytes, seal: Seal) -> Message:
-    """Raises Bad for whatever is no message of this fleet."""
+    """Decodes a datagram; raises Bad if it is not a valid message of this fleet."""
     kind, number, birth, token = unseal(data, seal, HEAD, HEAD.size)
     body = data[HEAD.size : -SEAL]
     try:
@@ -87,7 +87,7 @@
         if kind == Kind.GRANT:
             return Grant(number, birth, token, *GRANT.unpack(body))
         if kind == Kind.BACK and not body:
-            return Back(number, birth, token)
+            return Return(number, birth, token)
     except struct.error:
         pass
     raise Bad("form")
