--- a/dykeshift/versions/book.py
+++ b/dykeshift/versions/book.py
@@ -1,20 +1,21 @@
-"""The state that all balancers have alike: which settings are in force, which come, who is out.
+"""The replicated state of all balancers: the settings in force, the pending proposal, bans and server lists.
 
-Theory of operation. A proposal (`Pending`) goes through phases, each by a committed change:
+`Book` is the state machine of the replicated log. A proposal (`Pending`) goes through phases, and each
+transition is a committed change:
 
-    CHECK --refuse--> (gone)              nobody acts on it yet; each member says yes or no
-    CHECK --middle--> MIDDLE              all act on the middle of what is in force and what comes
-    CHECK, MIDDLE --force 0--> STAGE 0    the first group acts on it, all others on the middle
+    CHECK --refuse--> (removed)           no balancer applies it yet; each one accepts or rejects it
+    CHECK --middle--> MIDDLE              joint phase: all apply the narrower of the old and new settings
+    CHECK, MIDDLE --force 0--> STAGE 0    the first group applies the new version, the others the joint one
     STAGE k --force k+1--> STAGE k+1
-    any --force -1--> (in force)          the version that comes is the one in force
-    MIDDLE, STAGE --halt--> BACK          all act on the middle again
-    BACK --drop--> (gone)                 what was in force is in force again
-
-Promises at every instant:
- 1. Applying a change never fails; one that does not fit the state changes nothing.
- 2. Two members whose books have the same version have the same book.
- 3. What `acts` says of a member's settings depends on the book and its number alone.
-How long a phase has to last is not the book's business (guide.py): the book has no clock.
+    any --force -1--> (in force)          the new version is in force
+    MIDDLE, STAGE --halt--> BACK          rollback: all apply the joint settings again
+    BACK --drop--> (removed)              the previous version is in force again
+
+Invariants:
+ 1. Applying a change never fails; a change that does not fit the state changes nothing.
+ 2. Two balancers whose state has the same version have the same state.
+ 3. The settings that a balancer with a lease applies (`force.Acts`) depend only on this state and its number.
+The minimum duration of a phase is decided by the leader (guide.py): the state machine has no clock.
 """
 
 from __future__ import annotations
@@ -39,14 +40,17 @@
     unpack,
 )
 
-MOST_OUT = 256  # servers out by hand at once: the book goes whole to whoever comes back from nothing
-KEPT = 4  # rule sets that were in force before and can be gone back to
+# Servers banned by hand at once: bounds the snapshot that a balancer without state gets as a whole.
+MAX_BANNED = 256
+MAX_KEPT = 4  # previous versions kept for rollback; also the number of outcomes kept
 
 
-How = Literal["refused", "in force", "halted", "checked"]
+Result = Literal["refused", "in force", "halted", "checked"]
 
 
 class Phase(Enum):
+    """The phase of a pending proposal; see the head of the module."""
+
     CHECK = "check"
     MIDDLE = "middle"
     STAGE = "stage"
@@ -54,53 +58,63 @@
 
 
 class Rules(Struct, frozen=True):
-    """A set of settings that is, was or will be in force. No text: each balancer has those of its own
-    file."""
+    """A version of the settings: current, previous or proposed.
+
+    With empty `settings` each balancer uses those of its own file."""
 
     version: int = 0
     settings: str = ""
     by: str = ""
 
 
-def mark(rules: Rules) -> int:
-    """Four bytes that tell one proposal from another, also of a history that was given up. Never 0."""
+def proposal_digest(rules: Rules) -> int:
+    """Returns a four-byte digest of a proposal, never 0.
+
+    It tells proposals apart that have the same version number, as after a log was abandoned and started
+    again."""
     text = f"{rules.version}\0{rules.settings}".encode()
     return int.from_bytes(hashlib.blake2s(text, digest_size=4).digest(), "big") or 1
 
 
 class Pending(Struct, frozen=True):
+    """The proposal in progress, with its phase."""
+
     rules: Rules
     phase: Phase = Phase.CHECK
-    since: int = 0  # the version that brought the phase
+    since: int = 0  # the version of the change that started the phase
     stages: tuple[tuple[int, ...], ...] = ()
     stage: int = -1
     dry: bool = False
-    reason: str = ""  # of a halt
+    reason: str = ""  # why it was halted
 
 
 class Outcome(Struct, frozen=True):
-    """What became of a proposal."""
+    """The final result of a proposal."""
 
     version: int
-    how: How
+    how: Result
     reason: str = ""
 
 
 class Out(Struct, frozen=True):
-    """By whom, and since which version."""
+    """A ban by hand: who set it, and the version of the change that did."""
 
     version: int
     by: str
 
 
 class Pages(Struct):
-    """All of it, as it is kept and sent."""
+    """The complete state, as stored and sent in snapshots.
+
+    `out`: servers banned by hand. `preferred`: servers chosen first among equally idle ones. `closed`:
+    classes that are rejected. `wary`: servers that get nothing from a balancer without a lease. `doubt`: what
+    a balancer without a lease does."""
 
     version: int = 0
     rules: Rules = Rules()
     pending: Pending | None = None
     past: tuple[Rules, ...] = ()
-    out: dict[str, Out] = {}  # servers out by hand
+    out: dict[str, Out] = {}
     preferred: tuple[str, ...] = ()
     closed: tuple[str, ...] = ()
     wary: tuple[str, ...] = ()
@@ -108,23 +122,25 @@
     outcomes: tuple[Outcome, ...] = ()
 
 
-_pages = msgspec.json.Decoder(Pages)
+_decoder = msgspec.json.Decoder(Pages)
 
 
 class Book:
-    """A machine of the history."""
+    """The state machine that applies the changes of the replicated log."""
 
     def __init__(self) -> None:
+        """Start with the empty state of version 0."""
         self.pages = Pages()
-        self.strange = 0  # entries that are nobody's change
-        self.turns = 0  # counts every change of the pages in this process
-        self.banned: dict[str, int] = {}  # by server: the version that put it out last
+        self.strange = 0  # log entries that are not a known change
+        self.change_count = 0  # times that the state changed in this process
+        self.ban_versions: dict[str, int] = {}  # by server: the version of its latest ban
 
-    # ---- the machine ----
+    # ---- state machine ----
 
     def apply(self, version: int, body: bytes) -> None:
+        """Applies a committed entry; one that is not a known change only advances the version."""
         change = unpack(body)
-        self.turns += 1
+        self.change_count += 1
         self.pages.version = version
         if change is None:
             self.strange += 1
@@ -132,41 +148,43 @@
         getattr(self, "_" + type(change).__name__.lower())(version, change)
 
     def snapshot(self) -> bytes:
+        """Returns the encoded state."""
         return msgspec.json.encode(self.pages)
 
     def restore(self, version: int, state: bytes) -> None:
-        """What is no state of ours is the state of an empty book."""
+        """Replaces the state by a snapshot; one that can't be decoded gives the empty state."""
         try:
-            self.pages = _pages.decode(state)
+            self.pages = _decoder.decode(state)
         except (msgspec.DecodeError, msgspec.ValidationError):
             self.pages = Pages()
-        self.turns += 1
+        self.change_count += 1
         self.pages.version = version
 
-    # ---- what can be asked ----
+    # ---- queries ----
 
     def find(self, version: int) -> Rules | None:
-        """The rules of a version that is in force or was."""
-        held = (self.pages.rules, *self.pages.past)
-        return next((r for r in held if r.version == version and r.settings), None)
+        """Returns a current or previous version that has settings."""
+        known = (self.pages.rules, *self.pages.past)
+        return next((r for r in known if r.version == version and r.settings), None)
 
     def outcome(self, version: int) -> Outcome | None:
+        """Returns the result of a recent proposal; None if it is pending or not kept."""
         return next((o for o in self.pages.outcomes if o.version == version), None)
 
     def objection(self, change: object) -> str:
-        """Why it would change nothing now; empty where it would."""
+        """Returns why the change would have no effect now; empty if it would have one."""
         pages, pending = self.pages, self.pages.pending
         if isinstance(change, Propose):
             return f"version {pending.rules.version} is under way" if pending is not None else ""
         if isinstance(change, Halt):
             if pending is None or pending.rules.version != change.version:
                 return "no such proposal is under way"
-            return "it is being taken back" if pending.phase is Phase.BACK else ""
+            return "it is being rolled back already" if pending.phase is Phase.BACK else ""
         if isinstance(change, Ban):
-            full = f"{MOST_OUT} are out already" if len(pages.out) >= MOST_OUT else ""
-            return "it is out already" if change.name in pages.out else full
+            full = f"{MAX_BANNED} servers are banned already" if len(pages.out) >= MAX_BANNED else ""
+            return "the server is banned already" if change.name in pages.out else full
         if isinstance(change, Unban):
-            return "" if change.name in pages.out else "it is not out"
+            return "" if change.name in pages.out else "the server is not banned"
         return ""
 
     # ---- changes ----
@@ -180,28 +198,28 @@
                 dry=change.dry,
             )
 
-    def _at(self, version: int, *phases: Phase) -> Pending | None:
+    def _pending_in_phase(self, version: int, *phases: Phase) -> Pending | None:
         pending = self.pages.pending
         if pending is not None and pending.rules.version == version and pending.phase in phases:
             return pending
         return None
 
-    def _end(self, version: int, how: How, reason: str) -> None:
+    def _finish(self, version: int, how: Result, reason: str) -> None:
         self.pages.pending = None
-        self.pages.outcomes = (*self.pages.outcomes, Outcome(version, how, reason))[-KEPT:]
+        self.pages.outcomes = (*self.pages.outcomes, Outcome(version, how, reason))[-MAX_KEPT:]
 
     def _refuse(self, version: int, change: Refuse) -> None:
-        pending = self._at(change.version, Phase.CHECK)
+        pending = self._pending_in_phase(change.version, Phase.CHECK)
         if pending is not None:
-            self._end(change.version, "checked" if pending.dry else "refused", change.reason)
+            self._finish(change.version, "checked" if pending.dry else "refused", change.reason)
 
     def _middle(self, version: int, change: Middle) -> None:
-        pending = self._at(change.version, Phase.CHECK)
+        pending = self._pending_in_phase(change.version, Phase.CHECK)
         if pending is not None and not pending.dry:
             self.pages.pending = msgspec.structs.replace(pending, phase=Phase.MIDDLE, since=version)
 
     def _force(self, version: int, change: Force) -> None:
-        pending = self._at(change.version, Phase.CHECK, Phase.MIDDLE, Phase.STAGE)
+        pending = self._pending_in_phase(change.version, Phase.CHECK, Phase.MIDDLE, Phase.STAGE)
         if pending is None or pending.dry:
             return
         if change.stage >= 0:
@@ -210,29 +228,29 @@
                     pending, phase=Phase.STAGE, since=version, stage=change.stage
                 )
             return
-        self.pages.past = (self.pages.rules, *self.pages.past)[:KEPT]
+        self.pages.past = (self.pages.rules, *self.pages.past)[:MAX_KEPT]
         self.pages.rules = pending.rules
-        self._end(change.version, "in force", "")
+        self._finish(change.version, "in force", "")
 
     def _halt(self, version: int, change: Halt) -> None:
-        pending = self._at(change.version, Phase.CHECK, Phase.MIDDLE, Phase.STAGE)
+        pending = self._pending_in_phase(change.version, Phase.CHECK, Phase.MIDDLE, Phase.STAGE)
         if pending is None:
             return
         if pending.phase is Phase.CHECK:
-            self._end(change.version, "halted", change.reason)
+            self._finish(change.version, "halted", change.reason)
         else:
             self.pages.pending = msgspec.structs.replace(
                 pending, phase=Phase.BACK, since=version, reason=change.reason
             )
 
     def _drop(self, version: int, change: Drop) -> None:
-        pending = self._at(change.version, Phase.BACK)
+        pending = self._pending_in_phase(change.version, Phase.BACK)
         if pending is not None:
-            self._end(change.version, "halted", pending.reason)
+            self._finish(change.version, "halted", pending.reason)
 
     def _ban(self, version: int, change: Ban) -> None:
         if not self.objection(change):
-            self.banned = dict([*self.banned.items(), (change.name, version)][-MOST_OUT:])
+            self.ban_versions = dict([*self.ban_versions.items(), (change.name, version)][-MAX_BANNED:])
             self.pages.out = {change.name: Out(version, change.by), **self.pages.out}
 
     def _unban(self, version: int, change: Unban) -> None:
@@ -240,6 +258,6 @@
 
     def _lists(self, version: int, change: Lists) -> None:
         for name in ("preferred", "closed", "wary", "doubt"):
-            told = getattr(change, name)
-            if told is not None:
-                setattr(self.pages, name, told)
+            value = getattr(change, name)
+            if value is not None:
+                setattr(self.pages, name, value)
--- a/dykeshift/versions/changes.py
+++ b/dykeshift/versions/changes.py
@@ -1,7 +1,7 @@
-"""Changes as the history keeps them: JSON texts, each decided once by `book.Book`.
+"""The changes in the replicated log: JSON texts, each applied by the state machine `book.Book`.
 
-Who does not know a change, or a field of it (an older program), passes over it; what an older program does
-not know of the settings themselves its own check says before anything is in force.
+An older program ignores changes and fields that it does not know. Settings that it does not understand are
+rejected by its own check (checks.py) before a version is in force anywhere.
 """
 
 from __future__ import annotations
@@ -17,59 +17,67 @@
 
 
 class Propose(Struct, frozen=True, tag="propose", tag_field="do", omit_defaults=True):
-    """Other settings (JSON in the protocol's words, without what is each balancer's own). `stages`: numbers
-    of the balancers that act on it first, group after group. `dry`: only asked what each says of it."""
+    """Proposes a new version of the settings (JSON with the keys of the protocol, without local settings).
+
+    `stages`: numbers of the balancers that apply it first, group after group. `dry`: a dry run, which only
+    collects the objections of all balancers."""
 
     settings: msgspec.Raw
     by: Text = ""
     stages: tuple[tuple[int, ...], ...] = ()
     dry: bool = False
-    of: int = 0  # the version that it goes back to, where it is a rollback
+    of: int = 0  # the version to return to, if this is a rollback
 
 
 class Refuse(Struct, frozen=True, tag="refuse", tag_field="do"):
-    """Somebody who would have to act on it can't; or a dry run is over."""
+    """Ends a proposal in its check phase: a balancer can't apply it, or a dry run is complete."""
 
     version: int
     reason: Text
 
 
 class Middle(Struct, frozen=True, tag="middle", tag_field="do"):
+    """Starts the joint phase."""
+
     version: int
 
 
 class Force(Struct, frozen=True, tag="force", tag_field="do"):
-    """In force at the members of the stages up to this one; at all with stage -1."""
+    """Puts the version in force at the balancers of the stages up to this one; at all with stage -1."""
 
     version: int
     stage: int = -1
 
 
 class Halt(Struct, frozen=True, tag="halt", tag_field="do"):
-    """Back to what was in force before."""
+    """Starts the return to the version in force before."""
 
     version: int
     reason: Text
 
 
 class Drop(Struct, frozen=True, tag="drop", tag_field="do"):
-    """The end of a halt: nobody acts on it any more."""
+    """Ends a halt: no balancer applies the halted version any more."""
 
     version: int
 
 
 class Ban(Struct, frozen=True, tag="ban", tag_field="do"):
+    """Bans a server at all balancers."""
+
     name: Name
     by: Text = ""
 
 
 class Unban(Struct, frozen=True, tag="unban", tag_field="do"):
+    """Lifts the ban of a server."""
+
     name: Name
     by: Text = ""
 
 
 class Lists(Struct, frozen=True, tag="lists", tag_field="do", omit_defaults=True):
-    """What is not told stays as it is."""
+    """Replaces the lists that are given; those that are None stay as they are."""
 
     preferred: Names | None = None
     closed: Names | None = None
@@ -85,13 +93,14 @@
 
 
 def pack(change: Change) -> bytes:
+    """Encodes a change as a log entry."""
     return _encoder.encode(change)
 
 
 def unpack(body: bytes) -> Change | None:
-    """None: it is no change of these; others may have proposed it for purposes of their own."""
+    """Decodes a log entry; None if it is not one of these changes, as other features use the log too."""
     try:
-        found: Change = _decoder.decode(body)
+        change: Change = _decoder.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError):
         return None
-    return found
+    return change
--- a/dykeshift/versions/checks.py
+++ b/dykeshift/versions/checks.py
@@ -1,5 +1,5 @@
-"""Whether this balancer could act on proposed settings, and why not: its own limits, its own list, what it
-has under way. One reason, in one line, is enough to refuse a proposal.
+"""Checks whether this balancer could apply proposed settings: its limits, its server list, its requests in
+flight. One objection, a single line of text, is enough to refuse a proposal.
 """
 
 from __future__ import annotations
@@ -16,46 +16,49 @@
 
 @dataclass(frozen=True, slots=True)
 class Sight:
-    """What this balancer sees of its own service. Times in nanoseconds."""
+    """What this balancer observes locally. Times in nanoseconds."""
 
-    running: frozenset[int] = frozenset()  # servers that its list has as running
-    inflight: dict[str, int] = field(default_factory=dict)  # requests under way, by class
-    usual: dict[str, float] = field(default_factory=dict)  # what good answers take, running mean, by class
-    attempts: int = 0  # the most that a request under way has had
-    at_work: int = 1  # balancers that are surely at work
-    most_attempts: int = 3  # that the platform's rules allow
+    running: frozenset[int] = frozenset()  # servers that are running by its own list
+    inflight: dict[str, int] = field(default_factory=dict)  # requests in flight, by class
+    usual: dict[str, float] = field(default_factory=dict)  # mean time of good answers, by class
+    attempts: int = 0  # the largest number that a request in flight has had
+    at_work: int = 1  # balancers that are known to be active
+    max_attempts: int = 3  # allowed by the rules of the platform
 
 
-def objection(text: str, own: Own, held: Settings, closed: frozenset[str], sight: Sight) -> str:
-    """Empty: it could. `held`: what it acts on; `closed`: classes that are turned away by now."""
+def objection(text: str, own: Own, current: Settings, closed: frozenset[str], sight: Sight) -> str:
+    """Returns why this balancer could not apply the settings `text`; empty if it could.
+
+    `current`: the settings in force. `closed`: classes that are already rejected."""
     try:
         new = own.read(text)
     except SettingsError as exc:
         return str(exc)
-    before, after = live(held), live(new)
+    before, after = live(current), live(new)
     for name in before:
         if name not in after and sight.inflight.get(name) and name not in closed:
             return (
-                f"class {name} would go and has {sight.inflight[name]} requests under way: " "close it first"
+                f"class {name} would be removed and has {sight.inflight[name]} requests under way: "
+                "close it first"
             )
     for name, klass in after.items():
-        usual = sight.usual.get(name, 0.0)
-        if klass.deadline <= usual:
+        typical = sight.usual.get(name, 0.0)
+        if klass.deadline <= typical:
             return (
-                f"class {name}: a deadline of {klass.deadline / MS:.0f} ms is under what its "
-                f"answers take, {usual / MS:.0f} ms"
+                f"class {name}: a deadline of {klass.deadline / MS:.0f} ms is not above its "
+                f"mean response time of {typical / MS:.0f} ms"
             )
-    if new.attempt_limit > sight.most_attempts:
-        return f"{new.attempt_limit} attempts are more than the {sight.most_attempts} that are allowed"
+    if new.attempt_limit > sight.max_attempts:
+        return f"{new.attempt_limit} attempts are more than the {sight.max_attempts} that the platform allows"
     if new.attempt_limit < sight.attempts:
         return f"a request under way has had {sight.attempts} attempts, {new.attempt_limit} would be allowed"
     if new.balancers < sight.at_work:
-        return f"settings for {new.balancers} balancers, and {sight.at_work} are at work"
+        return f"settings for {new.balancers} balancers, but {sight.at_work} are active"
     return ""
 
 
 def ban_objection(server: int, out: frozenset[int], sight: Sight) -> str:
-    """Why a server should not be put out by hand: nobody would be left."""
+    """Returns why a server must not be banned by hand (it is the last one); empty if it may be."""
     if server in sight.running and not sight.running - out - {server}:
-        return "no server would be left"
+        return "it is the last running server that is not banned"
     return ""
--- a/dykeshift/versions/core.py
+++ b/dykeshift/versions/core.py
@@ -1,9 +1,11 @@
-"""The versions at one balancer: time, datagrams and the committed book in; datagrams, changes to propose and
-what may be acted on out. Knows the history by what it is handed (`History`); opens no socket, reads no clock.
+"""Configuration versions at one balancer, without I/O.
 
-The parts: `book` (what all have alike), `force` (what may be acted on at this instant), `guide` (what whoever
-leads proposes next), `lists` (what others' lists say), `checks` (whether this balancer could act on a
-proposal).
+Takes time, datagrams and the committed state; gives datagrams, changes to propose and the settings to apply.
+It reaches the replicated log through the interface `ReplicatedLog` and opens no socket.
+
+The parts: `book` (replicated state), `force` (the settings to apply at this instant), `guide` (the changes
+that the leader proposes), `lists` (server lists of other balancers), `checks` (whether this balancer could
+apply a proposal).
 """
 
 from __future__ import annotations
@@ -14,123 +16,136 @@
 from typing import Any, Protocol
 
 from dykeshift.settings import SettingsError
-from dykeshift.versions.book import Book, Pending, Rules, mark
+from dykeshift.versions.book import Book, Pending, Rules, proposal_digest
 from dykeshift.versions.changes import Ban, Change, Lists, Propose, Unban
 from dykeshift.versions.checks import Sight, objection
 from dykeshift.versions.force import Acts, InForce
 from dykeshift.versions.guide import Facts, Guide, Options
-from dykeshift.versions.lists import Lists as Told
+from dykeshift.versions.lists import PeerLists
 from dykeshift.versions.own import Own
 from dykeshift.versions.terms import contradicts
-from dykeshift.versions.wire import SERVERS, Leaving, Message, Report, Verdict, decode
+from dykeshift.versions.wire import MAX_SERVERS, Leaving, Message, Report, Verdict, decode
 from dykeshift.view.wire import Bad, Seal
 
-FANOUT = 2  # members that are told of servers that leave, each time
+FANOUT = 2  # balancers that each announcement of leaving servers is sent to
 
 
-class History(Protocol):
-    """What is asked of the agreement."""
+class ReplicatedLog(Protocol):
+    """What this module needs of the replicated log."""
 
     def lease_left(self) -> int:
-        """Nanoseconds for which the book may be held true."""
+        """Returns the nanoseconds for which the committed state known here is valid; 0 without a lease."""
 
-    def heard(self) -> tuple[bytes, ...]:
-        """Changes that are here and not known to be committed."""
+    def uncommitted(self) -> tuple[bytes, ...]:
+        """Returns the changes known here that are not known to be committed."""
 
-    def why(self) -> str:
-        """Why there is no lease, where there is none."""
+    def no_lease_reason(self) -> str:
+        """Returns why there is no lease, if there is none."""
 
-    def leader(self) -> int | None: ...
+    def leader(self) -> int | None:
+        """Returns the number of the leader; None if it is not known."""
+        ...
 
-    def facts(self) -> Facts: ...
+    def facts(self) -> Facts:
+        """Returns whether this process leads, and which balancers are alive."""
+        ...
 
-    def ident(self) -> int:
-        """Which history it is; 0: none yet."""
+    def log_id(self) -> int:
+        """Returns the identity of the log; 0 as long as none is known."""
 
 
 @dataclass
 class Versions:
+    """The state machine of the configuration versions at one balancer.
+
+    `birth`: the incarnation of this process. `sight`: what it observes of its own requests and servers."""
+
     options: Options
     own: Own
     book: Book
     number: int
     birth: int
-    history: History
+    history: ReplicatedLog
     clock: Callable[[], int]
     sight: Callable[[], Sight]
     rng: Random
     counter: int = 0
-    answers: tuple[int, int] = (0, 0)  # to clients, and bad ones among them
+    answers: tuple[int, int] = (0, 0)  # to clients, and how many of them were bad
     report_at: int = 0
-    told: tuple[int, int, str] = (0, 0, "")  # the version, proposal and mode of the last report
-    # Bans by hand that are not committed, by server, and the book's version when they were asked for.
+    last_reported: tuple[int, int, str] = (0, 0, "")  # the version, proposal and mode of the last report
+    # Bans requested here that are not committed yet, by server, with the state's version at the request.
     wanted: dict[str, tuple[Ban, int]] = field(default_factory=dict)
-    lifted: set[str] = field(default_factory=set)  # of these, taken back before they were committed
+    withdrawn: set[str] = field(default_factory=set)  # bans withdrawn before they were committed
     dropped: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
+        """Creates the parts."""
         self.force = InForce(self.own, self.book, self.number)
         self.guide = Guide(self.options, self.book, self._contradicts)
-        self.lists = Told(self.options.last)
-        self.verdicts: dict[Rules, str] = {}  # of proposals: the objection
-        self.notes: list[str] = []  # what is to be said once
+        self.lists = PeerLists(self.options.last)
+        self.verdicts: dict[Rules, str] = {}  # by proposal: the objection of this balancer
+        self.notes: list[str] = []  # warnings for the log, each reported once
 
-    # ---- what may be acted on ----
+    # ---- settings to apply ----
 
     def look(self) -> int:
-        """The stamp of what holds at this instant: the gate between decision and send."""
-        left = self.history.lease_left()
-        if left > 0:
-            return self.force.look(self.clock(), left)
-        return self.force.look(self.clock(), 0, self.history.heard(), self.history.why())
+        """Updates the settings to apply and returns their stamp.
+
+        A request is sent only if the stamp is still the one under which its server was chosen."""
+        lease_left = self.history.lease_left()
+        if lease_left > 0:
+            return self.force.look(self.clock(), lease_left)
+        return self.force.look(self.clock(), 0, self.history.uncommitted(), self.history.no_lease_reason())
 
     @property
     def acts(self) -> Acts:
+        """The settings to apply, as of the last `look`."""
         return self.force.acts
 
     # ---- time and datagrams ----
 
     def on_tick(self, now: int) -> tuple[list[tuple[Message, int]], Change | None]:
-        """What to send, to which numbers, and what to propose on the book's version."""
+        """Returns messages with their receivers' numbers, and a change to propose on the current version."""
         self.look()
-        return [*self._report(now), *self._spread(now)], self._next(now)
+        return [*self._report(now), *self._announce_leaving(now)], self._next_change(now)
 
     def on_datagram(self, now: int, data: bytes, seal: Seal) -> None:
+        """Handles a datagram of another balancer; invalid ones are dropped and counted by reason."""
         try:
             message = decode(data, seal)
         except Bad as exc:
-            self._drop(str(exc))
+            self._count_dropped(str(exc))
             return
         if message.number == self.number:
-            self._drop("own")
-        elif message.history != self.history.ident():
-            self._drop("stranger")
+            self._count_dropped("own")
+        elif message.history != self.history.log_id():
+            self._count_dropped("stranger")
         elif isinstance(message, Report):
             self.guide.on_report(now, message)
         else:
-            self._hear_list(now, message)
+            self._on_leaving(now, message)
 
-    def _hear_list(self, now: int, message: Leaving) -> None:
-        why = self.lists.on_word(now, message.generation, message.servers)
-        if why:
-            self.notes.append(f"number {message.number}'s list is ignored: {why}")
+    def _on_leaving(self, now: int, message: Leaving) -> None:
+        ignored = self.lists.on_announcement(now, message.generation, message.servers)
+        if ignored:
+            self.notes.append(f"server list of balancer {message.number} ignored: {ignored}")
 
-    def _drop(self, reason: str) -> None:
+    def _count_dropped(self, reason: str) -> None:
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
     # ---- reports ----
 
     def _report(self, now: int) -> list[tuple[Message, int]]:
         pages, pending = self.book.pages, self.book.pages.pending
-        proposal = mark(pending.rules) if pending is not None else 0
+        proposal = proposal_digest(pending.rules) if pending is not None else 0
         state = (pages.version, proposal, self.acts.mode)
-        pace = self.options.report if pending is not None else self.options.quiet
-        if now < self.report_at and state == self.told:
+        interval = self.options.report if pending is not None else self.options.quiet
+        if now < self.report_at and state == self.last_reported:
             return []
-        self.told, self.report_at, self.counter = state, now + pace, self.counter + 1
+        self.last_reported, self.report_at, self.counter = state, now + interval, self.counter + 1
         verdict, reason = self._verdict(pending)
         report = Report(
-            self.history.ident(),
+            self.history.log_id(),
             self.birth,
             self.number,
             self.counter,
@@ -148,16 +163,16 @@
         return [(report, leader)] if leader is not None else []
 
     def _verdict(self, pending: Pending | None) -> tuple[Verdict, str]:
-        """On a proposal it makes up its mind once."""
+        """Checks each proposal once and keeps the result."""
         if pending is None:
             self.verdicts.clear()
             return Verdict.NONE, ""
         rules = pending.rules
         if rules not in self.verdicts:
-            held = self.own.read(self.book.pages.rules.settings) if self._readable() else self.own.settings
+            current = self.own.read(self.book.pages.rules.settings) if self._readable() else self.own.settings
             self.verdicts = {
                 rules: objection(
-                    rules.settings, self.own, held, frozenset(self.book.pages.closed), self.sight()
+                    rules.settings, self.own, current, frozenset(self.book.pages.closed), self.sight()
                 )
             }
         reason = self.verdicts[rules]
@@ -171,59 +186,73 @@
         return True
 
     def _contradicts(self, pending: Pending) -> bool:
-        """Where nothing was in force each acts on its own file, and nobody knows what these say."""
-        held = self.book.pages.rules.settings
-        if not held:
+        """Returns whether the proposal needs a joint phase.
+
+        It does while no version is in force: each balancer then uses its own file, which the others don't
+        know."""
+        current = self.book.pages.rules.settings
+        if not current:
             return True
         try:
-            return contradicts(self.own.read(held), self.own.read(pending.rules.settings))
+            return contradicts(self.own.read(current), self.own.read(pending.rules.settings))
         except SettingsError:
             return True
 
     # ---- lists ----
 
-    def _spread(self, now: int) -> list[tuple[Message, int]]:
-        word = self.lists.word(now, SERVERS)
-        if word is None:
+    def _announce_leaving(self, now: int) -> list[tuple[Message, int]]:
+        announcement = self.lists.announcement(now, MAX_SERVERS)
+        if announcement is None:
             return []
         others = sorted(self.history.facts().alive - {self.number})
         chosen = self.rng.sample(others, min(FANOUT, len(others)))
-        message = Leaving(self.history.ident(), self.birth, self.number, *word)
+        message = Leaving(self.history.log_id(), self.birth, self.number, *announcement)
         return [(message, number) for number in chosen]
 
     # ---- changes ----
 
-    def _next(self, now: int) -> Change | None:
-        for name in [n for n in self.lifted if n in self.book.pages.out]:
+    def _next_change(self, now: int) -> Change | None:
+        for name in [n for n in self.withdrawn if n in self.book.pages.out]:
             if self.book.pages.out[name].by == str(self.number):
                 return Unban(name, str(self.number))
-            self.lifted.discard(name)  # somebody else's: it is his to lift
-        for name, (wanted, since) in list(self.wanted.items()):
-            done = self.book.banned.get(name, 0) > since  # and perhaps lifted again by now
-            if not done and not self.book.objection(wanted):
-                return wanted
+            self.withdrawn.discard(name)  # set by another balancer, which may lift it
+        for name, (ban, since) in list(self.wanted.items()):
+            committed = self.book.ban_versions.get(name, 0) > since  # and may have been lifted since
+            if not committed and not self.book.objection(ban):
+                return ban
             del self.wanted[name]
         return self.guide.next(now, self.history.facts())
 
     def ban(self, name: str) -> None:
-        """By hand, here: until the history has it this balancer alone obeys."""
+        """Requests a ban by hand; until it is committed it applies at this balancer only."""
         self.wanted[name] = Ban(name, str(self.number)), self.book.pages.version
-        self.lifted.discard(name)
+        self.withdrawn.discard(name)
 
     def unban(self, name: str) -> None:
-        """What this balancer has proposed and nobody has committed yet: if it comes all the same, it is
-        lifted. The fleet's ban ends by a committed change."""
+        """Withdraws a ban requested here that is not committed; if it is committed later, it is lifted.
+
+        A committed ban ends by a committed change."""
         if self.wanted.pop(name, None) is not None:
-            self.lifted.add(name)
+            self.withdrawn.add(name)
 
     def reconfigure(self, raw: dict[str, Any]) -> bool:
-        """A new file: its own part holds at once. Whether its shared part is what is in force."""
-        own = Own(raw)  # SettingsError: nothing has changed
-        self.own.mine, self.own.shared, self.own.settings = own.mine, own.shared, own.settings
-        self.own.forget()
+        """Applies the local settings of a new file at once; returns whether its shared part is in force."""
+        own = Own(raw)  # raises SettingsError before anything is changed
+        self.own.local, self.own.shared, self.own.settings = own.local, own.shared, own.settings
+        self.own.clear_cache()
         self.force.reread()
-        held = self.book.pages.rules.settings
-        return not held or held == own.shared
-
-
-__all__ = ["Ban", "Facts", "History", "Lists", "Options", "Propose", "Unban", "Versions", "mark"]
+        current = self.book.pages.rules.settings
+        return not current or current == own.shared
+
+
+__all__ = [
+    "Ban",
+    "Facts",
+    "ReplicatedLog",
+    "Lists",
+    "Options",
+    "Propose",
+    "Unban",
+    "Versions",
+    "proposal_digest",
+]
--- a/dykeshift/versions/force.py
+++ b/dykeshift/versions/force.py
@@ -1,20 +1,19 @@
-"""What this balancer may act on at this instant: the version in force, or, in doubt, what is never bolder.
-
-Theory of operation. `look` is asked before every decision and again as bytes are about to be written. Its
-stamp is another once anything that decisions hang on is another: so what was decided before does not go out
-after. It knows the book (what is committed here) and for how long the lease on it holds, by this process's
-own monotonic clock.
-
-Promises at every instant:
- 1. With a lease it acts as the book says of its number: the version in force, the one that comes where its
-    stage is reached, or the middle of both.
- 2. Without one, from the first look after the lease's end on, it is *doubtful*: it acts on the middle of the
-    version in force as it knows it, the one that it knows to come and all that it has heard was proposed; it
-    copies nothing, sends nothing again that may have run, and nothing to a server that may be out as far as
-    it knows (out in its book, heard to be proposed, `wary` in advance). With `doubt = "refuse"` it sends
-    nothing.
- 3. It is never bolder in doubt than with the lease before.
-Why this bounds how long two act on contradicting rules: docs/design/versions.md.
+"""The settings that a balancer may apply at this instant: those in force or, without a lease, narrower ones.
+
+`look` is called before every decision and again just before bytes are written. Its stamp changes with
+anything that decisions depend on, so nothing is sent that was decided under other settings. The input is the
+committed state known here and the remaining time of the lease on it, by the monotonic clock of this process.
+
+Invariants:
+ 1. With a lease the balancer applies what the committed state says for its number: the version in force, the
+    pending version if its stage is reached, or the joint settings (the narrower of both, field by field).
+ 2. Without a lease, from the first call of `look` after its end, the balancer is degraded (mode "doubtful").
+    It applies the narrowest of the version in force, the pending version and all uncommitted proposals that
+    it knows of. It sends no copies, does not repeat requests that may have run, and sends nothing to servers
+    that may be banned (banned in the state, a ban uncommitted, or in the list `wary`). With `doubt =
+    "refuse"` it sends nothing.
+ 3. A degraded balancer is never more permissive than it was with the lease.
+Why this bounds how long two balancers apply contradicting settings: docs/design/versions.md.
 """
 
 from __future__ import annotations
@@ -29,76 +28,85 @@
 from dykeshift.versions.own import Own
 from dykeshift.versions.terms import live, meet
 
-ALL_FORMS = frozenset(Idempotency)
+ALL_IDEMPOTENCIES = frozenset(Idempotency)
 
 
 @dataclass(frozen=True, slots=True)
 class Acts:
-    """What is acted on. `version`: of the settings that allow most of it; `mode`: how."""
+    """The settings that are applied.
 
-    mode: str  # "in force", "middle" (of it and the version that comes), "doubtful"
+    `version`: the version in force that they are based on. `mode`: how they were derived from it."""
+
+    mode: str  # "in force", "middle" (joint settings of two versions) or "doubtful" (degraded)
     version: int
     settings: Settings
-    out: frozenset[str] = frozenset()  # servers, by name
-    wary: frozenset[str] = frozenset()  # beside them: left alone in doubt
+    out: frozenset[str] = frozenset()  # names of banned servers
+    wary: frozenset[str] = frozenset()  # further servers that a degraded balancer avoids
     preferred: frozenset[str] = frozenset()
-    closed: frozenset[str] = frozenset()  # classes
-    why: str = ""  # it is in doubt, or can't act on what is in force
+    closed: frozenset[str] = frozenset()  # classes that are rejected
+    why: str = ""  # reason of the degraded mode
 
     @property
     def doubtful(self) -> bool:
+        """Whether the balancer is degraded: it has no lease or can't apply the version in force."""
         return self.mode == "doubtful"
 
 
 class InForce:
-    """`acts` is what holds since the last `look`; `changed` says whether it is another than was taken."""
+    """Computes the settings to apply; `acts` holds those of the last `look`, `stamp` changes with them."""
 
     def __init__(self, own: Own, book: Book, number: int) -> None:
+        """Starts in degraded mode. `number`: of this balancer, by which stages name it."""
         self.own, self.book, self.number = own, book, number
         self.stamp = 1
-        self.since = 0  # when `acts` became what it is
-        self.acts = Acts("doubtful", 0, own.settings, why="it has just started")
-        self.basis: tuple[object, ...] = ()
+        self.since = 0  # when `acts` last changed
+        self.acts = Acts("doubtful", 0, own.settings, why="the process has just started")
+        self.inputs: tuple[object, ...] = ()
         self.leased = False
 
-    def look(self, now: int, lease_left: int, heard: tuple[bytes, ...] = (), why: str = "no lease") -> int:
-        """The stamp of what holds now. `heard`: changes that it has and that are not known to be
-        committed."""
+    def look(
+        self, now: int, lease_left: int, uncommitted: tuple[bytes, ...] = (), why: str = "no lease"
+    ) -> int:
+        """Updates `acts` and returns its stamp.
+
+        `uncommitted`: changes known here that are not known to be committed. `why`: why there is no lease."""
         leased = lease_left > 0
-        basis = (leased, self.book.turns) if leased else (leased, self.book.turns, heard, why)
-        if basis != self.basis:
-            self.basis, self.leased = basis, leased
-            acts = self._in_force() if leased else self._in_doubt(heard, why)
+        inputs = (
+            (leased, self.book.change_count) if leased else (leased, self.book.change_count, uncommitted, why)
+        )
+        if inputs != self.inputs:
+            self.inputs, self.leased = inputs, leased
+            acts = self._in_force() if leased else self._degraded(uncommitted, why)
             if acts != self.acts:
                 self.acts, self.since = acts, now
                 self.stamp += 1
         return self.stamp
 
     def reread(self) -> None:
-        """This balancer's own part is another: what is acted on is reckoned anew at the next look."""
-        self.basis = ()
+        """Recomputes `acts` at the next `look`, as the local settings have changed."""
+        self.inputs = ()
 
     # ---- with a lease ----
 
     def _in_force(self) -> Acts:
         pages, pending = self.book.pages, self.book.pages.pending
         try:
-            held = self.own.read(pages.rules.settings)
+            current = self.own.read(pages.rules.settings)
             if pending is None or pending.phase is Phase.CHECK:
-                return self._with("in force", pages.rules.version, held)
-            comes = self.own.read(pending.rules.settings)
-        except SettingsError as exc:  # as after an upgrade backwards: its program can't act on it
-            return self._in_doubt((), f"it can't act on what is in force: {exc}")
+                return self._committed("in force", pages.rules.version, current)
+            proposed = self.own.read(pending.rules.settings)
+        except SettingsError as exc:  # for instance after a downgrade of the program
+            return self._degraded((), f"cannot apply the version in force: {exc}")
         if self._staged(pending):
-            return self._with("in force", pending.rules.version, comes)
-        return self._with("middle", pages.rules.version, meet(held, comes))
+            return self._committed("in force", pending.rules.version, proposed)
+        return self._committed("middle", pages.rules.version, meet(current, proposed))
 
     def _staged(self, pending: Pending) -> bool:
         return pending.phase is Phase.STAGE and any(
             self.number in group for group in pending.stages[: pending.stage + 1]
         )
 
-    def _with(self, mode: str, version: int, settings: Settings) -> Acts:
+    def _committed(self, mode: str, version: int, settings: Settings) -> Acts:
         pages = self.book.pages
         return Acts(
             mode,
@@ -110,13 +118,13 @@
             frozenset(pages.closed),
         )
 
-    # ---- without ----
+    # ---- without a lease ----
 
-    def _in_doubt(self, heard: Iterable[bytes], why: str) -> Acts:
+    def _degraded(self, uncommitted: Iterable[bytes], why: str) -> Acts:
         pages, pending = self.book.pages, self.book.pages.pending
         texts = [pages.rules.settings] + ([pending.rules.settings] if pending is not None else [])
         out = set(pages.out)
-        for body in heard:
+        for body in uncommitted:
             change = unpack(body)
             if isinstance(change, Propose):
                 texts.append(bytes(change.settings).decode())
@@ -125,10 +133,10 @@
         settings: Settings | None = None
         for text in texts:
             try:
-                one = self.own.read(text)
+                parsed = self.own.read(text)
             except SettingsError:
-                continue  # what it can't read it can't act on; the doubt forbids what any settings may
-            settings = one if settings is None else meet(settings, one)
+                continue  # can't be applied; the degraded mode forbids whatever any settings may forbid
+            settings = parsed if settings is None else meet(settings, parsed)
         settings = settings or self.own.settings
         closed = set(pages.closed) | (set(live(settings)) if pages.doubt == "refuse" else set())
         return Acts(
@@ -142,21 +150,25 @@
             why,
         )
 
-    # ---- as the module is told ----
+    # ---- for the decision module ----
 
     def forms(self) -> dict[str, frozenset[Idempotency]]:
-        """Of classes that clients may call in several ways now: in the middle in those of both, in doubt in
-        any."""
+        """Returns the kinds of idempotency that clients may use now, of classes with more than one.
+
+        While a proposal is applied these are the kinds of both versions, in degraded mode all kinds."""
         if self.acts.doubtful:
-            return dict.fromkeys(live(self.acts.settings), ALL_FORMS)
+            return dict.fromkeys(live(self.acts.settings), ALL_IDEMPOTENCIES)
         pending = self.book.pages.pending
         if pending is None or pending.phase is Phase.CHECK:
             return {}
         try:
-            held, comes = self.own.read(self.book.pages.rules.settings), self.own.read(pending.rules.settings)
+            current, proposed = (
+                self.own.read(self.book.pages.rules.settings),
+                self.own.read(pending.rules.settings),
+            )
         except SettingsError:
             return {}
-        first, second = live(held), live(comes)
+        first, second = live(current), live(proposed)
         return {
             name: frozenset({c.idempotency, second[name].idempotency})
             for name, c in first.items()
@@ -165,8 +177,10 @@
 
 
 def word(acts: Acts, numbers: dict[str, int], leaving: frozenset[int] = frozenset()) -> Word:
-    """What the decision module is told beside the settings. `numbers`: of servers, by name; `leaving`: told
-    by other balancers' lists. Servers that are out come as bans, which the module has since long."""
+    """Returns what the decision module gets besides the settings.
+
+    `numbers`: of servers, by name. `leaving`: servers that are leaving by other balancers' lists. Banned
+    servers are not included: the module gets them as bans."""
     return Word(
         leaving | frozenset(numbers[n] for n in acts.wary if n in numbers),
         frozenset(numbers[n] for n in acts.preferred if n in numbers),
--- a/dykeshift/versions/own.py
+++ b/dykeshift/versions/own.py
@@ -1,4 +1,4 @@
-"""Between the settings as texts that all share and as this balancer acts on them: with what is its own."""
+"""Combines the shared settings text with the local settings of this balancer."""
 
 from __future__ import annotations
 
@@ -9,48 +9,51 @@
 from dykeshift.interface import Settings
 from dykeshift.settings import SettingsError, parse_settings
 
-MINE = ("az", "me", "discovery", "stepNs")  # of the settings' words: what is each balancer's own
+LOCAL_KEYS = ("az", "me", "discovery", "stepNs")  # keys of the settings that each balancer sets for itself
 
 
 class Own:
-    """This balancer's own part, and its own file's settings, which hold while no version was ever in
-    force."""
+    """The local settings of this balancer and those of its file.
+
+    The settings of the file apply as long as no version has ever been in force."""
 
     def __init__(self, raw: dict[str, Any]) -> None:
-        """`raw`: the settings of its file, in the protocol's words; SettingsError where they are none."""
-        self.mine = {name: raw[name] for name in MINE if name in raw}
+        """Takes the settings of its file, with the protocol's keys; raises SettingsError if invalid."""
+        self.local = {name: raw[name] for name in LOCAL_KEYS if name in raw}
         self.shared = share(raw)
         self.settings = parse_settings(raw)
         self._read = lru_cache(maxsize=16)(self._parse)
 
     def read(self, text: str) -> Settings:
-        """As this balancer would act on it; SettingsError in a line. No text: as its own file has it."""
+        """Parses shared settings and adds the local ones; raises SettingsError with a one-line message.
+
+        An empty text gives the settings of this balancer's file."""
         return self._read(text) if text else self.settings
 
-    def forget(self) -> None:
-        """What was read, as its own part is another."""
+    def clear_cache(self) -> None:
+        """Drops parsed settings, after the local settings have changed."""
         self._read.cache_clear()
 
     def _parse(self, text: str) -> Settings:
         try:
             raw = json.loads(text)
         except (ValueError, RecursionError) as exc:
-            raise SettingsError(f"settings are no JSON: {exc}") from None
+            raise SettingsError(f"settings are not JSON: {exc}") from None
         if not isinstance(raw, dict):
-            raise SettingsError("settings are no object")
-        settings = parse_settings({**raw, **self.mine})
+            raise SettingsError("settings are not a JSON object")
+        settings = parse_settings({**raw, **self.local})
         names = [c.name for c in settings.classes]
         if not names:
-            raise SettingsError("there is no class")
+            raise SettingsError("settings have no class")
         if len(set(names)) < len(names):
-            raise SettingsError("a class is named twice")
+            raise SettingsError("two classes have the same name")
         return settings
 
 
 def share(raw: dict[str, Any]) -> str:
-    """The part that all share, in one form: equal texts are equal settings."""
+    """Returns the shared part in canonical form: equal texts mean equal settings."""
     return json.dumps(
-        {name: value for name, value in raw.items() if name not in MINE},
+        {name: value for name, value in raw.items() if name not in LOCAL_KEYS},
         sort_keys=True,
         separators=(",", ":"),
         ensure_ascii=False,
--- a/dykeshift/versions/terms.py
+++ b/dykeshift/versions/terms.py
@@ -1,13 +1,13 @@
-"""What contradicts what: for each field of the settings which values may stand side by side, and the middle.
+"""Conflicts between settings: which values of a field may be in use at once, and the narrower one.
 
-Three sorts of fields. `OWN`: each balancer has its own, and no rule speaks of it over several. `FREE`: what
-is worth more or is hoped for; any two values may stand side by side, as neither allows what the other
-forbids. `GUARDED`: what a balancer may do by it, another by another value may not. Two settings that differ
-in a guarded field *contradict* one another. Their *middle* has, field by field, the value that allows only
-what both allow; so whoever acts on the middle breaks the rules of neither, and may stand beside both.
+There are three kinds of fields. `OWN`: local to each balancer; no rule spans several balancers. `FREE`: a
+target or preference; any two values may be in use at the same time, as neither allows what the other forbids.
+`GUARDED`: one value may allow what another forbids. Two settings that differ in a guarded field *contradict*
+one another. Their *meet* (the joint settings) has, field by field, the value that allows only what both
+allow, so a balancer that applies it violates neither, and it may be in use beside both.
 
-The middle is a meet: it does not depend on the order, is its own middle with each of the two, and is never
-bolder than either (`bolder`, by which the property tests hold the table).
+The meet is commutative and idempotent and never more permissive than either operand. The property tests check
+the tables by this, with `bolder`.
 """
 
 from __future__ import annotations
@@ -21,78 +21,93 @@
 from dykeshift.settings import narrower
 
 
-class Sort(Enum):
+class FieldKind(Enum):
+    """How values of a field relate between balancers; see the head of the module."""
+
     OWN = auto()
     FREE = auto()
     GUARDED = auto()
 
 
 @dataclass(frozen=True, slots=True)
-class Term:
-    """One field: `meet` gives the value that allows only what both do (GUARDED)."""
+class FieldRule:
+    """The rule for one field. `meet` returns the value that allows only what both allow (GUARDED fields)."""
 
-    sort: Sort
-    why: str  # one line for people
+    kind: FieldKind
+    why: str  # a one-line explanation for operators
     meet: Callable[[Any, Any], Any] | None = None
 
 
-def _both(one: bool, other: bool) -> bool:
+def _both_allow(one: bool, other: bool) -> bool:
     return one and other
 
 
-OWN, FREE, GUARDED = Sort.OWN, Sort.FREE, Sort.GUARDED
-
-SETTINGS: dict[str, Term] = {
-    "classes": Term(GUARDED, "class by class, by name; see CLASS"),
-    "retired": Term(OWN, "places of classes: each process counts them for itself"),
-    "zone": Term(OWN, "where this balancer stands"),
-    "ask_discovery": Term(OWN, "how its discovery is asked"),
-    "ask_every": Term(OWN, "how its discovery is asked"),
-    "step": Term(OWN, "how fine its clock is"),
-    "balancers": Term(GUARDED, "one's part of what a server bears: the larger number, the smaller part", max),
-    "attempt_limit": Term(GUARDED, "attempts of one request: the fewer", min),
-    "copies_allowed": Term(GUARDED, "two attempts of one request at once: only where both allow it", _both),
-    "cancel_allowed": Term(GUARDED, "calling attempts off: only where both allow it", _both),
-    "cold_share": Term(GUARDED, "what a cold server bears at first: the less", min),
-    "cold_time": Term(GUARDED, "how long it counts as cold: the longer", max),
-    "overload_multiple": Term(GUARDED, "how much more than it bears it may get: the less", min),
-    "overload_window": Term(GUARDED, "how long it bears too much: the shorter", min),
-    "answer_slack": Term(GUARDED, "how late a final answer may be: the sooner", min),
-    "retry_advice_limit": Term(FREE, "a client that is told a shorter wait only comes sooner"),
-    "worth_by_work": Term(FREE, "what is aimed at"),
-    "fairness": Term(FREE, "what is aimed at"),
+OWN, FREE, GUARDED = FieldKind.OWN, FieldKind.FREE, FieldKind.GUARDED
+
+SETTINGS: dict[str, FieldRule] = {
+    "classes": FieldRule(GUARDED, "class by class, by name; see CLASS"),
+    "retired": FieldRule(OWN, "indexes of retired classes: assigned by each process"),
+    "zone": FieldRule(OWN, "zone of this balancer"),
+    "ask_discovery": FieldRule(OWN, "how its discovery is asked"),
+    "ask_every": FieldRule(OWN, "how its discovery is asked"),
+    "step": FieldRule(OWN, "resolution of its clock"),
+    "balancers": FieldRule(
+        GUARDED,
+        "this balancer's share of a server's capacity: the larger number, hence the smaller share",
+        max,
+    ),
+    "attempt_limit": FieldRule(GUARDED, "attempts of one request: the smaller number", min),
+    "copies_allowed": FieldRule(
+        GUARDED, "two attempts of one request at once: only where both allow it", _both_allow
+    ),
+    "cancel_allowed": FieldRule(GUARDED, "cancelling attempts: only where both allow it", _both_allow),
+    "cold_share": FieldRule(GUARDED, "initial share of a cold server: the smaller", min),
+    "cold_time": FieldRule(GUARDED, "how long a server counts as cold: the longer time", max),
+    "overload_multiple": FieldRule(
+        GUARDED, "load beyond its capacity that a server may get: the smaller", min
+    ),
+    "overload_window": FieldRule(GUARDED, "how long a server may be overloaded: the shorter time", min),
+    "answer_slack": FieldRule(GUARDED, "how late a final answer may be: the earlier", min),
+    "retry_advice_limit": FieldRule(FREE, "a client that gets a shorter retry delay only returns earlier"),
+    "worth_by_work": FieldRule(FREE, "a target"),
+    "fairness": FieldRule(FREE, "a target"),
 }
 
-CLASS: dict[str, Term] = {
-    "name": Term(OWN, "which class it is"),
-    "idempotency": Term(GUARDED, "whether it may run again: safe beside keyed or unsafe is unsafe"),
-    "scope": Term(GUARDED, "where its repeats are dropped: the narrower; a zone beside a cell is unsafe"),
-    "window": Term(GUARDED, "how long its repeats are dropped: the shorter", min),
-    "aim": Term(FREE, "what is aimed at"),
-    "deadline": Term(FREE, "its client's own patience ends each request; it comes with the request"),
-    "worth": Term(FREE, "what is aimed at"),
-    "late_share": Term(FREE, "what is aimed at"),
-    "stream": Term(FREE, "whether long answers are expected"),
+CLASS: dict[str, FieldRule] = {
+    "name": FieldRule(OWN, "identifies the class"),
+    "idempotency": FieldRule(
+        GUARDED, "whether a request may run twice: safe with keyed or unsafe gives unsafe"
+    ),
+    "scope": FieldRule(GUARDED, "where repeats are deduplicated: the narrower; zone with cell gives unsafe"),
+    "window": FieldRule(GUARDED, "how long repeats are deduplicated: the shorter time", min),
+    "aim": FieldRule(FREE, "a target"),
+    "deadline": FieldRule(FREE, "each request carries its own time-out, set by its client"),
+    "worth": FieldRule(FREE, "a target"),
+    "late_share": FieldRule(FREE, "a target"),
+    "stream": FieldRule(FREE, "whether long answers are expected"),
 }
 
-# What is no field of the settings, and what may stand side by side.
-LISTS: dict[str, Term] = {
-    "out": Term(GUARDED, "a server that is out here and not there: the middle is out"),
-    "wary": Term(GUARDED, "servers that a balancer in doubt leaves alone: those of either"),
-    "closed": Term(FREE, "a class turned away here and served there: turned away is harmless"),
-    "preferred": Term(FREE, "which of the servers that are as idle goes first"),
-    "doubt": Term(GUARDED, "what a balancer in doubt does: refusing is the middle"),
-    "standby": Term(OWN, "each balancer drains for itself"),
-    "generation": Term(GUARDED, "lists of two generations: who is behind leaves alone what is leaving"),
+# The same for values outside the settings: the replicated lists and the state of each balancer.
+LISTS: dict[str, FieldRule] = {
+    "out": FieldRule(GUARDED, "banned at one and not at another: the meet is banned"),
+    "wary": FieldRule(GUARDED, "servers that a degraded balancer avoids: those of either list"),
+    "closed": FieldRule(FREE, "a class rejected at one and served at another: rejecting is harmless"),
+    "preferred": FieldRule(FREE, "which of equally idle servers is chosen first"),
+    "doubt": FieldRule(GUARDED, "what a degraded balancer does: the meet is refusing"),
+    "standby": FieldRule(OWN, "each balancer drains for itself"),
+    "generation": FieldRule(GUARDED, "server lists of two generations: the older one avoids leaving servers"),
 }
 
 
 def live(settings: Settings) -> dict[str, RequestClass]:
+    """Returns the classes that are not retired, by name."""
     return {c.name: c for n, c in enumerate(settings.classes) if n not in settings.retired}
 
 
 def meet(one: Settings, other: Settings) -> Settings:
-    """The middle. Its own and free fields are the first's; it has the classes of both."""
+    """Returns the joint settings: the narrower value of each guarded field, and the classes of both.
+
+    Its OWN and FREE fields are those of the first."""
     first, second = live(one), live(other)
     classes = [narrower(c, second[name]) if name in second else c for name, c in first.items()]
     classes += [c for name, c in second.items() if name not in first]
@@ -104,21 +119,21 @@
     return replace(one, classes=tuple(classes), retired=frozenset(), **changed)
 
 
-def middle(settings: Iterable[Settings]) -> Settings:
-    """Of several, at least one."""
-    found: Settings | None = None
-    for one in settings:
-        found = one if found is None else meet(found, one)
-    assert found is not None
-    return found
+def meet_all(settings: Iterable[Settings]) -> Settings:
+    """Returns the meet of one or more settings."""
+    result: Settings | None = None
+    for each in settings:
+        result = each if result is None else meet(result, each)
+    assert result is not None
+    return result
 
 
-def differences(one: Settings, other: Settings, sort: Sort = GUARDED) -> list[str]:
-    """The fields of a sort that differ, in words; classes that only one has differ in nothing."""
+def differences(one: Settings, other: Settings, kind: FieldKind = GUARDED) -> list[str]:
+    """Returns the names of the fields of a kind that differ; a class that only one has counts as equal."""
     found = [
         name
         for name, term in SETTINGS.items()
-        if term.sort is sort and name != "classes" and getattr(one, name) != getattr(other, name)
+        if term.kind is kind and name != "classes" and getattr(one, name) != getattr(other, name)
     ]
     second = live(other)
     for name, klass in live(one).items():
@@ -126,24 +141,25 @@
             found += [
                 f"{name}.{field}"
                 for field, term in CLASS.items()
-                if term.sort is sort
-                and _counts(klass, second[name], field)
+                if term.kind is kind
+                and _applies(klass, second[name], field)
                 and getattr(klass, field) != getattr(second[name], field)
             ]
     return found
 
 
-def _counts(one: RequestClass, other: RequestClass, field: str) -> bool:
-    """Scope and window say something of keyed classes only."""
+def _applies(one: RequestClass, other: RequestClass, field: str) -> bool:
+    """Whether a field has a meaning for both classes: scope and window have one for keyed classes only."""
     return field not in ("scope", "window") or (one.idempotency is Idempotency.KEYED is other.idempotency)
 
 
 def contradicts(one: Settings, other: Settings) -> bool:
+    """Whether the settings differ in a guarded field."""
     return bool(differences(one, other))
 
 
-# What a value allows, as a number or a set that grows with it: only the property tests and the judge ask.
-_BOLD: dict[str, Callable[[Any], Any]] = {
+# How much a value allows, as a number that grows with it; used by property tests and the checker only.
+_PERMISSIVENESS: dict[str, Callable[[Any], Any]] = {
     "balancers": lambda v: -v,
     "attempt_limit": lambda v: v,
     "copies_allowed": int,
@@ -157,23 +173,25 @@
 
 
 def repeats(klass: RequestClass) -> dict[Scope, float]:
-    """Until when after a first attempt a repeat may go where, in nanoseconds: what a class's terms allow."""
+    """Returns, by scope, for how many nanoseconds after the first attempt a class allows a repeat there."""
     if klass.idempotency is Idempotency.SAFE:
         return dict.fromkeys((Scope.ALL, Scope.ZONE, Scope.CELL), float("inf"))
     if klass.idempotency is Idempotency.UNSAFE:
         return {}
-    within = {
+    scopes = {
         Scope.ALL: (Scope.ALL, Scope.ZONE, Scope.CELL),
         Scope.ZONE: (Scope.ZONE,),
         Scope.CELL: (Scope.CELL,),
     }[klass.scope]
-    return dict.fromkeys(within, float(klass.window))
+    return dict.fromkeys(scopes, float(klass.window))
 
 
 def bolder(one: Settings, other: Settings) -> list[str]:
-    """In what the first allows anything that the second forbids."""
+    """Returns fields and classes in which the first settings allow something that the second forbid."""
     found = [
-        name for name, measure in _BOLD.items() if measure(getattr(one, name)) > measure(getattr(other, name))
+        name
+        for name, measure in _PERMISSIVENESS.items()
+        if measure(getattr(one, name)) > measure(getattr(other, name))
     ]
     second = live(other)
     for name, klass in live(one).items():
@@ -183,8 +201,8 @@
     return found
 
 
-def complete() -> list[str]:
-    """Fields that the tables do not name: a field that comes later has to be judged first."""
+def unclassified_fields() -> list[str]:
+    """Returns fields missing from the tables: each new field has to be classified first."""
     return [f.name for f in fields(Settings) if f.name not in SETTINGS] + [
         f.name for f in fields(RequestClass) if f.name not in CLASS
     ]
--- a/dykeshift/versions/wire.py
+++ b/dykeshift/versions/wire.py
@@ -1,16 +1,16 @@
-"""Datagrams of the versions, byte by byte, on the view's port (kinds from 64 on; docs/design/versions.md).
+"""Wire format of `versions`, on the port of the view (kinds from 64; docs/design/versions.md).
 
-     0  version (1)                          8  birth of the sender, 4 bytes
-     1  kind                                12  the kind's own fields
-     2  tag of the fleet's name, 2 bytes    -8  seal: BLAKE2s over all before it, as the view's
-     4  history, 4 bytes
+     0  version (1)                          8  birth (incarnation) of the sender, 4 bytes
+     1  kind                                12  fields of the kind
+     2  tag of the fleet's name, 2 bytes    -8  seal: BLAKE2s over everything before it, as in the view
+     4  identity of the log, 4 bytes
 
-    REPORT   number 2, counter 4, version of the book 4, of the pending proposal 4, verdict 1, mode 1, answers
-             4, bad ones 4, length of the reason 1, the reason in UTF-8
-    LEAVING  number 2, generation 8, servers 8 each: to the end
+    REPORT   number 2, counter 4, version of the state 4, digest of the pending proposal 4, verdict 1, mode 1,
+             answers 4, bad answers 4, length of the reason 1, the reason in UTF-8
+    LEAVING  number 2, generation 8, then 8 bytes for each server up to the end
 
-Any bytes at all end in a message or in `Bad`. A report that is played again says what its sender once said:
-the counter tells the newest of a life; a life that is over is not counted, as its number's newest birth is.
+Decoding any bytes gives a message or raises `Bad`. Replayed reports are harmless: the counter identifies the
+newest report of an incarnation, and only the newest incarnation of a number counts.
 """
 
 from __future__ import annotations
@@ -24,17 +24,21 @@
 HEAD = struct.Struct(">BBHII")
 REPORT = struct.Struct(">HIIIBBIIB")
 LEAVING = struct.Struct(">HQ")
-FIRST = 64
-REASON = 150  # bytes
-SERVERS = (MOST - SEAL - HEAD.size - LEAVING.size) // 8  # that one datagram names
+FIRST_KIND = 64
+MAX_REASON = 150  # bytes of the encoded reason
+MAX_SERVERS = (MOST - SEAL - HEAD.size - LEAVING.size) // 8  # that fit into one datagram
 
 
 class Kind(IntEnum):
+    """Kinds of datagrams."""
+
     REPORT = 64
     LEAVING = 65
 
 
 class Verdict(IntEnum):
+    """A balancer's answer to the pending proposal; NONE: not checked yet, or none is pending."""
+
     NONE = 0
     YES = 1
     NO = 2
@@ -45,24 +49,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a balancer says to whoever leads the history."""
+    """A balancer's report to the leader of the log."""
 
     history: int
     birth: int
     number: int
     counter: int
     version: int
-    pending: int  # the proposal that the verdict is on
+    pending: int  # digest of the proposal that the verdict is on
     verdict: Verdict
     mode: str
-    answers: int  # to clients, since the process began, modulo 2**32
-    bad: int  # of them refused or failed
+    answers: int  # to clients since the process started, modulo 2**32
+    bad: int  # answers that were refused or failed
     reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """What a balancer's list says: at which generation of discovery, who is leaving or gone."""
+    """Servers that are leaving or gone by a balancer's list, at a generation of discovery."""
 
     history: int
     birth: int
@@ -75,14 +79,16 @@
 
 
 def is_ours(data: bytes) -> bool:
-    return len(data) > 1 and data[1] >= FIRST
+    """Whether a datagram has a kind of this module."""
+    return len(data) > 1 and data[1] >= FIRST_KIND
 
 
 def encode(message: Message, seal: Seal) -> bytes:
+    """Encodes a message as a datagram with its seal; long reasons and lists are cut."""
     kind = Kind.REPORT if isinstance(message, Report) else Kind.LEAVING
     head = HEAD.pack(VERSION, kind, seal.tag, message.history, message.birth)
     if isinstance(message, Report):
-        reason = message.reason.encode()[:REASON]
+        reason = message.reason.encode()[:MAX_REASON]
         data = (
             head
             + REPORT.pack(
@@ -99,7 +105,7 @@
             + reason
         )
     else:
-        servers = message.servers[:SERVERS]
+        servers = message.servers[:MAX_SERVERS]
         data = (
             head
             + LEAVING.pack(message.number, message.generation)
@@ -109,7 +115,7 @@
 
 
 def decode(data: bytes, seal: Seal) -> Message:
-    """Raises Bad for whatever is no message of this fleet."""
+    """Decodes a datagram; raises Bad if it is not a valid message of this fleet."""
     kind, history, birth = unseal(data, seal, HEAD, HEAD.size)
     body = data[HEAD.size : -SEAL]
     try:
@@ -133,7 +139,7 @@
             number, generation = LEAVING.unpack_from(body)
             rest = body[LEAVING.size :]
             if len(rest) % 8:
-                raise ValueError("a server is cut off")
+                raise ValueError("truncated server number")
             return Leaving(
                 history,
                 birth,
--- a/tests/versions/defects.py
+++ b/tests/versions/defects.py
@@ -11,7 +11,7 @@
 from dykeshift.versions.changes import Change, Drop, Force, Halt, Middle, Propose, Refuse
 from dykeshift.versions.wire import Report, Verdict
 from tests.seeded import Defect as Undo
-from tests.seeded import patched as _patch
+from tests.seeded import patched as _replace
 
 
 def _looks_at_the_book_alone(
@@ -35,7 +35,7 @@
 
 def _halts_straight(self: book.Book, version: int, change: Halt) -> None:
     if self.pages.pending is not None:
-        self._end(change.version, "halted", change.reason)
+        self._finish(change.version, "halted", change.reason)
 
 
 def _waits_for_answers_only(
@@ -59,15 +59,15 @@
         _on_report(self, now, report)
 
 
-def _takes_any_word(self: lists.Lists, now: int, generation: int, servers: tuple[int, ...]) -> str:
-    self.share = 1.0
+def _takes_any_word(self: lists.PeerLists, now: int, generation: int, servers: tuple[int, ...]) -> str:
+    self.max_share = 1.0
     return _on_word(self, now, generation, servers)
 
 
-def _takes_older_words(self: lists.Lists, now: int, generation: int, servers: tuple[int, ...]) -> str:
+def _takes_older_words(self: lists.PeerLists, now: int, generation: int, servers: tuple[int, ...]) -> str:
     for number in servers:
         if number in self.running:
-            self.told[number] = lists.Told(1 << 60, now)
+            self.notices[number] = lists.PeerNotice(1 << 60, now)
     return ""
 
 
@@ -87,7 +87,7 @@
 
 def _naive(self: Any) -> bool:
     """The plain test of two shares, looked at after every block."""
-    a, b = self.first, self.others
+    a, b = self.staged, self.others
     n, m = a.good + a.bad, b.good + b.bad
     if not n or not m:
         return False
@@ -116,35 +116,35 @@
 
 
 _look, _check, _on_report = force.InForce.look, guide.Guide._check, guide.Guide.on_report
-_on_word, _restore = lists.Lists.on_word, book.Book.restore
-_next = dict(guide._NEXT)
+_on_word, _restore = lists.PeerLists.on_announcement, book.Book.restore
+_next = dict(guide._PHASE_HANDLERS)
 
 
 def _phase(phase: Phase, wrong: Any) -> Undo:
-    return lambda patch: patch.setitem(guide._NEXT, phase, wrong)
+    return lambda patch: patch.setitem(guide._PHASE_HANDLERS, phase, wrong)
 
 
 DEFECTS: dict[str, Undo] = {
-    "lease read before the stall": _patch(force.InForce, "look", _looks_at_the_book_alone),
-    "no doubt": _patch(force.InForce, "look", _never_in_doubt),
+    "lease read before the stall": _replace(force.InForce, "look", _looks_at_the_book_alone),
+    "no doubt": _replace(force.InForce, "look", _never_in_doubt),
     "middle skipped": _phase(Phase.CHECK, _skips_the_middle),
     "middle over once all in reach have said so": _phase(Phase.MIDDLE, _waits_for_answers_only),
     "rollback straight": _phase(Phase.BACK, _goes_straight_back),
-    "halt without its own middle": _patch(book.Book, "_halt", _halts_straight),
-    "the middle is the new version": _patch(force, "meet", _middle_is_the_new),
-    "a second proposal takes the first one's place": _patch(book.Book, "_propose", _proposes_twice),
+    "halt without its own middle": _replace(book.Book, "_halt", _halts_straight),
+    "the middle is the new version": _replace(force, "meet", _middle_is_the_new),
+    "a second proposal takes the first one's place": _replace(book.Book, "_propose", _proposes_twice),
     "a no ignored": _phase(Phase.CHECK, _ignores_a_no),
-    "an earlier life's yes": _patch(guide.Guide, "on_report", _counts_an_earlier_life),
-    "bolder in doubt": _patch(force.InForce, "_in_doubt", _bold_in_doubt),
-    "a peer's list may empty one": _patch(lists.Lists, "on_word", _takes_any_word),
-    "an older list counts": _patch(lists.Lists, "on_word", _takes_older_words),
+    "an earlier life's yes": _replace(guide.Guide, "on_report", _counts_an_earlier_life),
+    "bolder in doubt": _replace(force.InForce, "_degraded", _bold_in_doubt),
+    "a peer's list may empty one": _replace(lists.PeerLists, "on_announcement", _takes_any_word),
+    "an older list counts": _replace(lists.PeerLists, "on_announcement", _takes_older_words),
     "a test that does not bear looking": lambda patch: patch.setattr(
         "dykeshift.versions.trial.Trial.worse", property(_naive)
     ),
     "yes to another proposal of that number": lambda patch: [
-        patch.setattr(where, "mark", _one_mark) for where in (core, guide)
+        patch.setattr(where, "proposal_digest", _one_mark) for where in (core, guide)
     ][0],
-    "own checks left out": _patch(core, "objection", _any_settings),
-    "bans lost with a snapshot": _patch(book.Book, "restore", _forgets_bans),
-    "one's own part in what all share": _patch(own, "share", _shares_all),
+    "own checks left out": _replace(core, "objection", _any_settings),
+    "bans lost with a snapshot": _replace(book.Book, "restore", _forgets_bans),
+    "one's own part in what all share": _replace(own, "share", _shares_all),
 }
--- a/tests/versions/test_ruled.py
+++ b/tests/versions/test_ruled.py
@@ -134,7 +134,7 @@
     version = propose(day, 0)
     assert day.run(30, day.at_rest)
     outcome = day.spots[3].view.ruled.book.outcome(version)
-    assert outcome.how == "refused" and "number 7: settings for 200 balancers, and 300" in outcome.reason
+    assert outcome.how == "refused" and "number 7: settings for 200 balancers, but 300" in outcome.reason
     assert in_force_at(day, 0) == set(range(12))
 
 
--- a/tests/versions/test_terms.py
+++ b/tests/versions/test_terms.py
@@ -13,7 +13,16 @@
 
 from dykeshift.interface import Idempotency, ListKind, RequestClass, Scope, Settings, Word
 from dykeshift.rules import Balancer
-from dykeshift.versions.terms import FREE, bolder, complete, contradicts, differences, live, meet, middle
+from dykeshift.versions.terms import (
+    FREE,
+    bolder,
+    unclassified_fields,
+    contradicts,
+    differences,
+    live,
+    meet,
+    meet_all,
+)
 from tests.harness import CLASSES, MS, S, World, entry, make_settings
 from tests.test_properties import LIMITS, Rules
 
@@ -51,7 +60,7 @@
 
 
 def test_every_field_has_been_judged() -> None:
-    assert complete() == []
+    assert unclassified_fields() == []
 
 
 def guarded(one: Settings) -> Any:
@@ -83,7 +92,7 @@
     both = meet(one, other)
     assert bolder(both, one) == bolder(both, other) == []
     assert guarded(both) == guarded(meet(other, one)) and guarded(meet(both, one)) == guarded(both)
-    assert guarded(middle([one, other, third])) == guarded(meet(one, meet(other, third)))
+    assert guarded(meet_all([one, other, third])) == guarded(meet(one, meet(other, third)))
     assert not contradicts(one, one) and contradicts(one, other) == contradicts(other, one)
     if not contradicts(one, other):
         assert bolder(one, other) == bolder(other, one) == []  # side by side neither allows more
