--- a/tests/versions/defects.py
+++ b/tests/versions/defects.py
@@ -1,4 +1,4 @@
-"""Defects put into the versions on purpose, each by what it undoes; test_defects has what finds them."""
+"""Defects that are injected into `versions`; test_defects.py names what finds each of them."""
 
 from __future__ import annotations
 
@@ -10,83 +10,91 @@
 from dykeshift.versions.book import Pending, Phase
 from dykeshift.versions.changes import Change, Drop, Force, Halt, Middle, Propose, Refuse
 from dykeshift.versions.wire import Report, Verdict
-from tests.seeded import Defect as Undo
+from tests.seeded import Defect
 from tests.seeded import patched as _replace
 
 
-def _looks_at_the_book_alone(
-    self: force.InForce, now: int, lease_left: int, heard: Any = (), why: str = ""
+def _ignores_the_end_of_the_lease(
+    self: force.InForce, now: int, lease_left: int, uncommitted: Any = (), why: str = ""
 ) -> int:
-    return _look(self, now, 1 if self.leased else lease_left, heard, why)
+    return _look(self, now, 1 if self.leased else lease_left, uncommitted, why)
 
 
-def _never_in_doubt(self: force.InForce, now: int, lease_left: int, heard: Any = (), why: str = "") -> int:
+def _always_leased(
+    self: force.InForce, now: int, lease_left: int, uncommitted: Any = (), why: str = ""
+) -> int:
     return _look(self, now, 1)
 
 
-def _skips_the_middle(self: guide.Guide, now: int, facts: guide.Facts, pending: Pending) -> Change | None:
+def _skips_the_joint_phase(
+    self: guide.Guide, now: int, facts: guide.Facts, pending: Pending
+) -> Change | None:
     change = _check(self, now, facts, pending)
     return Force(change.version) if isinstance(change, Middle) else change
 
 
-def _goes_straight_back(self: guide.Guide, now: int, facts: guide.Facts, pending: Pending) -> Change | None:
+def _drops_without_waiting(
+    self: guide.Guide, now: int, facts: guide.Facts, pending: Pending
+) -> Change | None:
     return Drop(pending.rules.version)
 
 
-def _halts_straight(self: book.Book, version: int, change: Halt) -> None:
+def _halts_without_joint_phase(self: book.Book, version: int, change: Halt) -> None:
     if self.pages.pending is not None:
         self._finish(change.version, "halted", change.reason)
 
 
-def _waits_for_answers_only(
+def _waits_for_reports_only(
     self: guide.Guide, now: int, facts: guide.Facts, pending: Pending
 ) -> Change | None:
-    """The middle is over once all in reach have said that they are in it."""
-    said = [m.report for n, m in self.members.items() if n in facts.alive]
-    if any(report.version < pending.since for report in said):
+    """Ends the joint phase once all reachable balancers have reported it, without waiting for the lease."""
+    reports = [m.report for n, m in self.members.items() if n in facts.alive]
+    if any(report.version < pending.since for report in reports):
         return None
     return Force(pending.rules.version, 0 if pending.stages else -1)
 
 
-def _ignores_a_no(self: guide.Guide, now: int, facts: guide.Facts, pending: Pending) -> Change | None:
+def _ignores_objections(self: guide.Guide, now: int, facts: guide.Facts, pending: Pending) -> Change | None:
     change = _check(self, now, facts, pending)
     return Middle(pending.rules.version) if isinstance(change, Refuse) and not pending.dry else change
 
 
-def _counts_an_earlier_life(self: guide.Guide, now: int, report: Report) -> None:
+def _keeps_verdict_of_earlier_incarnation(self: guide.Guide, now: int, report: Report) -> None:
     known = self.members.get(report.number)
     if known is None or report.verdict is not Verdict.NONE:
         _on_report(self, now, report)
 
 
-def _takes_any_word(self: lists.PeerLists, now: int, generation: int, servers: tuple[int, ...]) -> str:
+def _accepts_any_share(self: lists.PeerLists, now: int, generation: int, servers: tuple[int, ...]) -> str:
     self.max_share = 1.0
-    return _on_word(self, now, generation, servers)
+    return _on_announcement(self, now, generation, servers)
 
 
-def _takes_older_words(self: lists.PeerLists, now: int, generation: int, servers: tuple[int, ...]) -> str:
+def _accepts_older_generations(
+    self: lists.PeerLists, now: int, generation: int, servers: tuple[int, ...]
+) -> str:
     for number in servers:
         if number in self.running:
             self.notices[number] = lists.PeerNotice(1 << 60, now)
     return ""
 
 
-def _bold_in_doubt(self: force.InForce, heard: Any, why: str) -> force.Acts:
+def _not_narrower_when_degraded(self: force.InForce, uncommitted: Any, why: str) -> force.Acts:
     acts = self._in_force()
     return force.Acts("doubtful", acts.version, acts.settings, acts.out, closed=acts.closed, why=why)
 
 
-def _middle_is_the_new(one: Settings, other: Settings) -> Settings:
+def _meet_is_the_new_version(one: Settings, other: Settings) -> Settings:
     return other
 
 
-def _proposes_twice(self: book.Book, version: int, change: Propose) -> None:
-    """What comes while another is under way takes its place at once."""
+def _replaces_the_pending_proposal(self: book.Book, version: int, change: Propose) -> None:
+    """Lets a new proposal replace the pending one at once."""
     self.pages.pending = Pending(book.Rules(version, bytes(change.settings).decode()), since=version)
 
 
-def _naive(self: Any) -> bool:
-    """The plain test of two shares, looked at after every block."""
+def _fixed_sample_test(self: Any) -> bool:
+    """A fixed-sample test of two proportions, evaluated after every block."""
     a, b = self.staged, self.others
     n, m = a.good + a.bad, b.good + b.bad
     if not n or not m:
@@ -96,55 +104,59 @@
     return bool(spread) and (a.bad / n - b.bad / m) / spread > 2.33
 
 
-def _one_mark(rules: book.Rules) -> int:
+def _version_as_digest(rules: book.Rules) -> int:
     return rules.version
 
 
-def _any_settings(text: str, *args: Any) -> str:
+def _accepts_any_settings(text: str, *args: Any) -> str:
     return ""
 
 
-def _forgets_bans(self: book.Book, version: int, state: bytes) -> None:
+def _restores_without_bans(self: book.Book, version: int, state: bytes) -> None:
     _restore(self, version, state)
     self.pages.out = {}
 
 
-def _shares_all(raw: dict[str, Any]) -> str:
+def _shares_local_settings(raw: dict[str, Any]) -> str:
     import json
 
     return json.dumps(raw, sort_keys=True)
 
 
 _look, _check, _on_report = force.InForce.look, guide.Guide._check, guide.Guide.on_report
-_on_word, _restore = lists.PeerLists.on_announcement, book.Book.restore
-_next = dict(guide._PHASE_HANDLERS)
+_on_announcement, _restore = lists.PeerLists.on_announcement, book.Book.restore
+_handlers = dict(guide._PHASE_HANDLERS)
 
 
-def _phase(phase: Phase, wrong: Any) -> Undo:
+def _phase(phase: Phase, wrong: Any) -> Defect:
     return lambda patch: patch.setitem(guide._PHASE_HANDLERS, phase, wrong)
 
 
-DEFECTS: dict[str, Undo] = {
-    "lease read before the stall": _replace(force.InForce, "look", _looks_at_the_book_alone),
-    "no doubt": _replace(force.InForce, "look", _never_in_doubt),
-    "middle skipped": _phase(Phase.CHECK, _skips_the_middle),
-    "middle over once all in reach have said so": _phase(Phase.MIDDLE, _waits_for_answers_only),
-    "rollback straight": _phase(Phase.BACK, _goes_straight_back),
-    "halt without its own middle": _replace(book.Book, "_halt", _halts_straight),
-    "the middle is the new version": _replace(force, "meet", _middle_is_the_new),
-    "a second proposal takes the first one's place": _replace(book.Book, "_propose", _proposes_twice),
-    "a no ignored": _phase(Phase.CHECK, _ignores_a_no),
-    "an earlier life's yes": _replace(guide.Guide, "on_report", _counts_an_earlier_life),
-    "bolder in doubt": _replace(force.InForce, "_degraded", _bold_in_doubt),
-    "a peer's list may empty one": _replace(lists.PeerLists, "on_announcement", _takes_any_word),
-    "an older list counts": _replace(lists.PeerLists, "on_announcement", _takes_older_words),
-    "a test that does not bear looking": lambda patch: patch.setattr(
-        "dykeshift.versions.trial.Trial.worse", property(_naive)
+DEFECTS: dict[str, Defect] = {
+    "lease read before a pause": _replace(force.InForce, "look", _ignores_the_end_of_the_lease),
+    "no degraded mode": _replace(force.InForce, "look", _always_leased),
+    "joint phase skipped": _phase(Phase.CHECK, _skips_the_joint_phase),
+    "joint phase over once all reachable balancers have reported it": _phase(
+        Phase.MIDDLE, _waits_for_reports_only
+    ),
+    "rollback without waiting": _phase(Phase.BACK, _drops_without_waiting),
+    "halt without its own joint phase": _replace(book.Book, "_halt", _halts_without_joint_phase),
+    "the joint settings are the new version": _replace(force, "meet", _meet_is_the_new_version),
+    "a second proposal replaces the first": _replace(book.Book, "_propose", _replaces_the_pending_proposal),
+    "an objection ignored": _phase(Phase.CHECK, _ignores_objections),
+    "a verdict of an earlier process": _replace(
+        guide.Guide, "on_report", _keeps_verdict_of_earlier_incarnation
+    ),
+    "more permissive when degraded": _replace(force.InForce, "_degraded", _not_narrower_when_degraded),
+    "a peer's list may empty the own one": _replace(lists.PeerLists, "on_announcement", _accepts_any_share),
+    "an older list counts": _replace(lists.PeerLists, "on_announcement", _accepts_older_generations),
+    "a fixed-sample test": lambda patch: patch.setattr(
+        "dykeshift.versions.trial.Trial.worse", property(_fixed_sample_test)
     ),
-    "yes to another proposal of that number": lambda patch: [
-        patch.setattr(where, "proposal_digest", _one_mark) for where in (core, guide)
+    "a verdict on another proposal of that version": lambda patch: [
+        patch.setattr(where, "proposal_digest", _version_as_digest) for where in (core, guide)
     ][0],
-    "own checks left out": _replace(core, "objection", _any_settings),
-    "bans lost with a snapshot": _replace(book.Book, "restore", _forgets_bans),
-    "one's own part in what all share": _replace(own, "share", _shares_all),
+    "own checks left out": _replace(core, "objection", _accepts_any_settings),
+    "bans lost with a snapshot": _replace(book.Book, "restore", _restores_without_bans),
+    "local settings among the shared ones": _replace(own, "share", _shares_local_settings),
 }
--- a/tests/versions/test_parts.py
+++ b/tests/versions/test_parts.py
@@ -1,4 +1,4 @@
-"""The parts by themselves: what may be acted on, what is proposed next, a stage's test, lists, datagrams."""
+"""Unit tests: replicated state, settings to apply, the leader's proposals, stage test, lists, datagrams."""
 
 from __future__ import annotations
 
@@ -37,26 +37,26 @@
 
 
 def config_store(*entries: changes.Change) -> Book:
-    made = Book()
+    store = Book()
     for n, entry in enumerate(entries, 1):
-        made.apply(n, pack(entry))
-    return made
+        store.apply(n, pack(entry))
+    return store
 
 
-def effective_state(made: Book, number: int = 0) -> InForce:
-    return InForce(Own(worded() | {"me": number}), made, number)
+def effective_state(store: Book, number: int = 0) -> InForce:
+    return InForce(Own(worded() | {"me": number}), store, number)
 
 
 FEWER = share({**worded(), "services": worded()["services"][1:]})
 COMMITTED = (proposal(SAFE), Force(1))  # version 1 is in force, the book has version 2
 
 
-# ---- the book ----
+# ---- replicated state ----
 
 
-def test_a_proposal_goes_through_its_phases_and_nothing_else_moves_it() -> None:
-    made = config_store(*COMMITTED, proposal(), Middle(3))
-    assert made.pages.pending is not None and made.pages.pending.phase is Phase.MIDDLE
+def test_a_proposal_goes_through_its_phases_and_other_changes_are_ignored() -> None:
+    store = config_store(*COMMITTED, proposal(), Middle(3))
+    assert store.pages.pending is not None and store.pages.pending.phase is Phase.MIDDLE
     late: list[changes.Change] = [
         Middle(3),
         Refuse(3, "late"),
@@ -66,49 +66,53 @@
         proposal(FREE),
     ]
     for n, strange in enumerate(late):
-        before = without_version(made)
-        made.apply(5 + n, pack(strange))
-        assert without_version(made) == before, strange
-    made.apply(11, pack(Force(3)))
-    assert (made.pages.rules.version, made.pages.past[0].version) == (3, 1)
-    assert made.find(1) is not None and made.find(0) is None  # nobody goes back to "each its own file"
-    assert [o.how for o in made.pages.outcomes] == ["in force", "in force"]
+        before = without_version(store)
+        store.apply(5 + n, pack(strange))
+        assert without_version(store) == before, strange
+    store.apply(11, pack(Force(3)))
+    assert (store.pages.rules.version, store.pages.past[0].version) == (3, 1)
+    assert store.find(1) is not None and store.find(0) is None  # no rollback to the settings of the files
+    assert [o.how for o in store.pages.outcomes] == ["in force", "in force"]
 
 
-def without_version(made: Book) -> Pages:
-    return msgspec.structs.replace(made.pages, version=0)
+def without_version(store: Book) -> Pages:
+    return msgspec.structs.replace(store.pages, version=0)
 
 
-def test_a_halt_goes_back_through_the_middle() -> None:
-    made = config_store(*COMMITTED, proposal(stages=((0,),)), Middle(3), Force(3, 0), Halt(3, "worse"))
-    assert made.pages.pending is not None and made.pages.pending.phase is Phase.BACK
-    assert effective_state(made).look(1, 1) and effective_mode(made) == "middle"
-    made.apply(7, pack(Drop(3)))
-    assert made.pages.pending is None and made.outcome(3) is not None
-    assert made.pages.outcomes[-1].reason == "worse" and made.pages.rules.version == 1
+def test_a_halt_goes_back_through_the_joint_phase() -> None:
+    store = config_store(*COMMITTED, proposal(stages=((0,),)), Middle(3), Force(3, 0), Halt(3, "worse"))
+    assert store.pages.pending is not None and store.pages.pending.phase is Phase.BACK
+    assert effective_state(store).look(1, 1) and effective_mode(store) == "middle"
+    store.apply(7, pack(Drop(3)))
+    assert store.pages.pending is None and store.outcome(3) is not None
+    assert store.pages.outcomes[-1].reason == "worse" and store.pages.rules.version == 1
 
 
-def effective_mode(made: Book, number: int = 0, lease: int = 1) -> str:
-    force = effective_state(made, number)
+def effective_mode(store: Book, number: int = 0, lease: int = 1) -> str:
+    force = effective_state(store, number)
     force.look(1, lease)
     return force.acts.mode
 
 
-def test_a_book_comes_back_whole_and_an_older_program_passes_over_what_it_does_not_know() -> None:
-    made = config_store(*COMMITTED, Ban("s1", "0"), Lists(wary=("s2",), doubt="refuse"), proposal())
-    later = Book()
-    later.restore(5, made.snapshot())
-    assert later.pages == made.pages and later.pages.out == {"s1": Out(3, "0")}
-    newer = json.loads(made.snapshot()) | {"moons": 3}
+def test_a_snapshot_restores_the_state_and_unknown_fields_and_changes_are_ignored() -> None:
+    store = config_store(*COMMITTED, Ban("s1", "0"), Lists(wary=("s2",), doubt="refuse"), proposal())
+    restored = Book()
+    restored.restore(5, store.snapshot())
+    assert restored.pages == store.pages and restored.pages.out == {"s1": Out(3, "0")}
+    newer = json.loads(store.snapshot()) | {"moons": 3}
     newer["rules"] |= {"colour": "red"}
-    later.restore(5, json.dumps(newer).encode())
-    assert later.pages == made.pages
-    later.apply(6, b'{"do":"paint","colour":"red"}')
-    later.apply(7, b"anything at all")
-    assert later.strange == 2 and later.pages.version == 7 and without_version(later) == without_version(made)
+    restored.restore(5, json.dumps(newer).encode())
+    assert restored.pages == store.pages
+    restored.apply(6, b'{"do":"paint","colour":"red"}')
+    restored.apply(7, b"anything at all")
+    assert (
+        restored.strange == 2
+        and restored.pages.version == 7
+        and without_version(restored) == without_version(store)
+    )
     unban = b'{"do":"unban","name":"s1","by":"0","colour":"red"}'
-    later.apply(8, unban)
-    assert later.pages.out == {}
+    restored.apply(8, unban)
+    assert restored.pages.out == {}
 
 
 @settings(derandomize=True, database=None, deadline=None)
@@ -138,19 +142,19 @@
         max_size=12,
     )
 )
-def test_any_entries_at_all_leave_a_book_that_goes_on(entries: list[bytes]) -> None:
-    made, other = Book(), Book()
+def test_any_entries_keep_the_state_machine_working(entries: list[bytes]) -> None:
+    store, restored = Book(), Book()
     for n, body in enumerate(entries, 1):
-        made.apply(n, body)
-        other.restore(n, made.snapshot())
-        assert other.pages == made.pages
-        assert effective_mode(made) in ("in force", "middle")
+        store.apply(n, body)
+        restored.restore(n, store.snapshot())
+        assert restored.pages == store.pages
+        assert effective_mode(store) in ("in force", "middle")
 
 
-# ---- what may be acted on ----
+# ---- settings to apply ----
 
 
-def test_without_a_lease_it_is_in_doubt_from_the_first_look_on() -> None:
+def test_without_a_lease_it_is_degraded_from_the_first_look_on() -> None:
     force = effective_state(config_store(*COMMITTED))
     first = force.look(10, lease_left=5)
     assert not force.acts.doubtful and force.acts.version == 1
@@ -161,14 +165,14 @@
     assert force.look(17, 9) not in (stamp, first)
 
 
-def test_in_doubt_it_acts_on_the_middle_of_all_that_it_has_heard_of() -> None:
+def test_degraded_it_applies_the_narrowest_of_all_known_proposals() -> None:
     force = effective_state(config_store(*COMMITTED, Lists(wary=("s4",))))
-    heard = (pack(proposal()), pack(Ban("s5")), b"noise")
-    force.look(1, 0, heard)
+    uncommitted = (pack(proposal()), pack(Ban("s5")), b"noise")
+    force.look(1, 0, uncommitted)
     unsafe = Own(worded()).read(UNSAFE)
     assert bolder(force.acts.settings, unsafe) == [] and force.acts.settings.attempt_limit == 2
     assert force.acts.out == {"s5"} and force.acts.wary == {"s4"}
-    assert word(force.acts, {"s4": 4, "s5": 5}).out == {4}  # s5 comes as a ban
+    assert word(force.acts, {"s4": 4, "s5": 5}).out == {4}  # s5 is passed as a ban
     pending = effective_state(config_store(*COMMITTED, proposal()))
     pending.look(1, 0)
     assert bolder(pending.acts.settings, unsafe) == []
@@ -177,39 +181,39 @@
     assert refusing.acts.closed == set(live(refusing.acts.settings))
 
 
-def test_stages_and_the_middle() -> None:
-    made = config_store(*COMMITTED, proposal(stages=((2,), (3,))), Middle(3), Force(3, 0))
-    assert [effective_mode(made, n) for n in (2, 3)] == ["in force", "middle"]
-    made.apply(6, pack(Force(3, 1)))
-    assert [effective_mode(made, n) for n in (2, 3, 4)] == ["in force", "in force", "middle"]
-    force = effective_state(made, 4)
+def test_stages_and_the_joint_phase() -> None:
+    store = config_store(*COMMITTED, proposal(stages=((2,), (3,))), Middle(3), Force(3, 0))
+    assert [effective_mode(store, n) for n in (2, 3)] == ["in force", "middle"]
+    store.apply(6, pack(Force(3, 1)))
+    assert [effective_mode(store, n) for n in (2, 3, 4)] == ["in force", "in force", "middle"]
+    force = effective_state(store, 4)
     force.look(1, 1)
     assert force.forms()["status-check"] == {
         live(Own(worded()).read(t))["status-check"].idempotency for t in (SAFE, UNSAFE)
     }
 
 
-def test_what_it_cannot_read_puts_it_in_doubt() -> None:
-    odd = json.loads(SAFE)
-    del odd["bounds"]["maxAttempts"]
-    made = config_store(*COMMITTED, proposal(json.dumps(odd)), Middle(3), Force(3))
-    force = effective_state(made)
+def test_settings_that_it_cannot_parse_make_it_degraded() -> None:
+    incomplete = json.loads(SAFE)
+    del incomplete["bounds"]["maxAttempts"]
+    store = config_store(*COMMITTED, proposal(json.dumps(incomplete)), Middle(3), Force(3))
+    force = effective_state(store)
     force.look(1, 1)
     assert force.acts.doubtful and "maxAttempts" in force.acts.why
 
 
-def test_ones_own_part_is_not_shared() -> None:
+def test_local_settings_are_not_shared() -> None:
     one, other = (Own({**worded(), "az": n, "me": n}) for n in (0, 1))
     assert one.shared == other.shared and one.read(SAFE).zone == 0 and other.read(SAFE).zone == 1
     with pytest.raises(SettingsError, match="no class"):
         one.read(json.dumps({**json.loads(SAFE), "services": []}))
 
 
-# ---- who would have to act on it ----
+# ---- checks of a proposal ----
 
 
 @pytest.mark.parametrize(
-    "text, sight, said",
+    "text, sight, expected",
     [
         (UNSAFE, Sight(), ""),
         ("{", Sight(), "not JSON"),
@@ -220,41 +224,41 @@
         (share(worded({"balancers": 2})), Sight(at_work=3), "3 are active"),
     ],
 )
-def test_each_harmful_proposal_is_refused_with_its_reason(text: str, sight: Sight, said: str) -> None:
+def test_each_harmful_proposal_is_refused_with_its_reason(text: str, sight: Sight, expected: str) -> None:
     own = Own(worded())
     why = objection(text, own, own.settings, frozenset(), sight)
-    assert said in why if said else why == ""
+    assert expected in why if expected else why == ""
 
 
-def test_a_class_that_is_closed_may_go_and_the_last_server_may_not() -> None:
+def test_a_closed_class_may_be_removed_and_the_last_server_may_not_be_banned() -> None:
     own = Own(worded())
     sight = Sight(frozenset({1, 2}), {"status-check": 2})
     assert objection(FEWER, own, own.settings, frozenset({"status-check"}), sight) == ""
     assert ban_objection(1, frozenset(), sight) == "" and ban_objection(1, frozenset({2}), sight)
 
 
-# ---- who leads ----
+# ---- leader ----
 
 LEADING = Facts(True, frozenset({0, 1, 2}))
 
 
-def leader_of(made: Book) -> Guide:
+def leader_of(store: Book) -> Guide:
     own = Own(worded())
     return Guide(
         Options(),
-        made,
-        lambda p: contradicts(own.read(made.pages.rules.settings), own.read(p.rules.settings)),
+        store,
+        lambda p: contradicts(own.read(store.pages.rules.settings), own.read(p.rules.settings)),
     )
 
 
-def report(made: Book, number: int, verdict: Verdict = Verdict.YES, **more: Any) -> Report:
-    pending = made.pages.pending
+def report(store: Book, number: int, verdict: Verdict = Verdict.YES, **more: Any) -> Report:
+    pending = store.pages.pending
     base = Report(
         1,
         7,
         number,
         1,
-        made.pages.version,
+        store.pages.version,
         core.proposal_digest(pending.rules) if pending else 0,
         verdict,
         "in force",
@@ -264,91 +268,93 @@
     return replace(base, **more)
 
 
-def test_all_have_to_say_yes_and_one_no_refuses_with_its_reason() -> None:
-    made = config_store(*COMMITTED, proposal())
-    leads = leader_of(made)
+def test_all_must_accept_and_one_objection_refuses() -> None:
+    store = config_store(*COMMITTED, proposal())
+    leader = leader_of(store)
     for n in (0, 1):
-        leads.on_report(0, report(made, n))
-    assert leads.next(0, LEADING) is None
-    assert leads.next(0, replace(LEADING, is_leader=False)) is None
-    leads.on_report(0, report(made, 2, Verdict.NO, reason="too many"))
-    assert leads.next(1, LEADING) == Refuse(3, "number 2: too many")
-    leads.on_report(0, report(made, 2, counter=2))
-    assert leads.next(2, LEADING) == Middle(3)
-    leads.on_report(0, report(made, 2, Verdict.NO, counter=1))  # late, or played again
-    assert leads.next(3, LEADING) == Middle(3)
-    leads.on_report(0, report(made, 2, Verdict.NONE, birth=8))  # another life has not said so
-    assert leads.next(4, LEADING) is None
-    late = leads.next(Options().check + 5, LEADING)
-    assert isinstance(late, Refuse) and "1 of 3 balancers have not reported" in late.reason
-
-
-def test_a_dry_run_says_what_each_has_against_it() -> None:
-    made = config_store(*COMMITTED, proposal(dry=True))
-    leads = leader_of(made)
-    leads.on_report(0, report(made, 0, Verdict.NO, reason="too few"))
-    assert leads.next(0, LEADING) is None  # the others are to be heard
-    leads.on_report(0, report(made, 1))
-    leads.on_report(0, report(made, 2, Verdict.NO, reason="close it first"))
-    assert leads.next(1, LEADING) == Refuse(3, "number 0: too few; number 2: close it first")
-
-
-def test_a_yes_to_another_proposal_of_that_number_does_not_count() -> None:
-    made, other = config_store(*COMMITTED, proposal()), config_store(*COMMITTED, proposal(FREE))
-    leads = leader_of(made)
+        leader.on_report(0, report(store, n))
+    assert leader.next(0, LEADING) is None
+    assert leader.next(0, replace(LEADING, is_leader=False)) is None
+    leader.on_report(0, report(store, 2, Verdict.NO, reason="too many"))
+    assert leader.next(1, LEADING) == Refuse(3, "number 2: too many")
+    leader.on_report(0, report(store, 2, counter=2))
+    assert leader.next(2, LEADING) == Middle(3)
+    leader.on_report(0, report(store, 2, Verdict.NO, counter=1))  # out of order, or replayed
+    assert leader.next(3, LEADING) == Middle(3)
+    leader.on_report(0, report(store, 2, Verdict.NONE, birth=8))  # a new incarnation has no verdict yet
+    assert leader.next(4, LEADING) is None
+    timed_out = leader.next(Options().check + 5, LEADING)
+    assert isinstance(timed_out, Refuse) and "1 of 3 balancers have not reported" in timed_out.reason
+
+
+def test_a_dry_run_collects_the_objections_of_all() -> None:
+    store = config_store(*COMMITTED, proposal(dry=True))
+    leader = leader_of(store)
+    leader.on_report(0, report(store, 0, Verdict.NO, reason="too few"))
+    assert leader.next(0, LEADING) is None  # waits for the others
+    leader.on_report(0, report(store, 1))
+    leader.on_report(0, report(store, 2, Verdict.NO, reason="close it first"))
+    assert leader.next(1, LEADING) == Refuse(3, "number 0: too few; number 2: close it first")
+
+
+def test_a_verdict_on_another_proposal_of_that_version_does_not_count() -> None:
+    store, other = config_store(*COMMITTED, proposal()), config_store(*COMMITTED, proposal(FREE))
+    leader = leader_of(store)
     for n in range(3):
-        leads.on_report(0, report(other, n))
-    assert leads.next(0, LEADING) is None
+        leader.on_report(0, report(other, n))
+    assert leader.next(0, LEADING) is None
 
 
-def test_what_contradicts_waits_for_the_lease_in_the_middle_and_after_a_halt() -> None:
-    made = config_store(*COMMITTED, proposal(), Middle(3))
-    leads, wait = leader_of(made), Options().wait
+def test_a_conflicting_version_waits_for_the_lease_in_the_joint_phase_and_after_a_halt() -> None:
+    store = config_store(*COMMITTED, proposal(), Middle(3))
+    leader, wait = leader_of(store), Options().wait
     assert wait > Options().lease * 1.01
-    assert leads.next(100, LEADING) is None and leads.next(100 + wait - 1, LEADING) is None
-    assert leads.next(100 + wait, LEADING) == Force(3)
-    assert leads.next(100 + wait, replace(LEADING, is_leader=False)) is None
-    assert leads.next(200 + wait, LEADING) is None  # it led no more in between: it waits anew
-    back = leader_of(config_store(*COMMITTED, proposal(), Middle(3), Halt(3, "by hand")))
-    assert back.next(5, LEADING) is None and back.next(5 + wait - 1, LEADING) is None
-    assert back.next(5 + wait, LEADING) == Drop(3)
-
-
-def test_what_contradicts_nothing_needs_no_middle_and_a_dry_run_changes_nothing() -> None:
+    assert leader.next(100, LEADING) is None and leader.next(100 + wait - 1, LEADING) is None
+    assert leader.next(100 + wait, LEADING) == Force(3)
+    assert leader.next(100 + wait, replace(LEADING, is_leader=False)) is None
+    assert (
+        leader.next(200 + wait, LEADING) is None
+    )  # it lost the leadership in between: the wait starts again
+    halted = leader_of(config_store(*COMMITTED, proposal(), Middle(3), Halt(3, "by hand")))
+    assert halted.next(5, LEADING) is None and halted.next(5 + wait - 1, LEADING) is None
+    assert halted.next(5 + wait, LEADING) == Drop(3)
+
+
+def test_without_conflict_there_is_no_joint_phase_and_a_dry_run_changes_nothing() -> None:
     for text, dry, wanted in ((FREE, False, Force), (UNSAFE, True, Refuse)):
-        made = config_store(*COMMITTED, proposal(text, dry=dry))
-        leads = leader_of(made)
+        store = config_store(*COMMITTED, proposal(text, dry=dry))
+        leader = leader_of(store)
         for n in range(3):
-            leads.on_report(0, report(made, n))
-        assert isinstance(leads.next(0, LEADING), wanted)
+            leader.on_report(0, report(store, n))
+        assert isinstance(leader.next(0, LEADING), wanted)
 
 
 def run_stage(bad: float, blocks: int = 60, answers: int = 40) -> changes.Change | None:
-    """A stage whose first member's answers are bad in this part, the others' in one of a hundred."""
-    made = config_store(*COMMITTED, proposal(stages=((0,),)), Middle(3), Force(3, 0))
-    leads, rng, counts = leader_of(made), Random("stage"), {n: [0, 0] for n in range(3)}
+    """Run a stage with this fraction of bad answers at its balancer, and 1% at the others."""
+    store = config_store(*COMMITTED, proposal(stages=((0,),)), Middle(3), Force(3, 0))
+    leader, rng, counts = leader_of(store), Random("stage"), {n: [0, 0] for n in range(3)}
     for block in range(blocks):
         for n, count in counts.items():
             count[0] += answers
             count[1] += sum(rng.random() < (bad if n == 0 else 0.01) for _ in range(answers))
-            leads.on_report(block, report(made, n, counter=block + 1, answers=count[0], bad=count[1]))
-        found = leads.next(block * SECOND, LEADING)
+            leader.on_report(block, report(store, n, counter=block + 1, answers=count[0], bad=count[1]))
+        found = leader.next(block * SECOND, LEADING)
         if found is not None:
             return found
     return None
 
 
-def test_a_stage_that_does_harm_is_halted_and_a_good_one_goes_on() -> None:
+def test_a_harmful_stage_is_halted_and_a_good_one_continues() -> None:
     halted = run_stage(0.2)
     assert isinstance(halted, Halt) and "stage 0" in halted.reason
     assert run_stage(0.01) == Force(3)
-    few = run_stage(0.0, blocks=700, answers=0)
-    assert isinstance(few, Halt) and "too few" in few.reason
+    too_few = run_stage(0.0, blocks=700, answers=0)
+    assert isinstance(too_few, Halt) and "too few" in too_few.reason
 
 
-def test_the_stage_s_test_stays_true_however_often_one_looks() -> None:
-    """A thousand good versions, looked at after each of 200 blocks: hardly one is taken back."""
-    rng, wrong = Random("trials"), 0
+def test_the_sequential_test_is_valid_after_every_block() -> None:
+    """Of 200 good versions, evaluated after each of 200 blocks, at most one is halted (alpha is 0.001)."""
+    rng, false_alarms = Random("trials"), 0
     for _ in range(200):
         trial, halted = Trial(), False
         for _ in range(200):
@@ -357,8 +363,8 @@
                 (60, sum(rng.random() < 0.05 for _ in range(60))),
             )
             halted = halted or trial.worse
-        wrong += halted
-    assert wrong <= 1
+        false_alarms += halted
+    assert false_alarms <= 1
 
 
 # ---- lists ----
@@ -370,21 +376,21 @@
     return lists
 
 
-def test_a_newer_list_s_leaving_servers_are_left_alone_for_a_while_and_never_the_other_way() -> None:
+def test_leaving_servers_of_a_newer_list_are_avoided_for_a_limited_time() -> None:
     lists = peer_lists()
     assert lists.on_announcement(SECOND, 5, (1, 2)) == lists.on_announcement(SECOND, 1, (3,)) == ""
-    assert lists.out(SECOND) == frozenset()  # as old, and discovery that began anew at 1
+    assert lists.out(SECOND) == frozenset()  # the same generation, and one of a restarted discovery
     assert lists.on_announcement(SECOND, 6, (1, 2, 77)) == "" and lists.out(SECOND) == {1, 2}
     for again in range(2, 40):
         lists.on_announcement(again * SECOND, 6, (1, 2))
-    assert lists.out(17 * SECOND) == frozenset()  # bounded, however often it is told
+    assert lists.out(17 * SECOND) == frozenset()  # bounded, however often it is announced
     lists.on_announcement(17 * SECOND, 7, (3,))
     assert lists.out(18 * SECOND) == {3}
     lists.on_own(19 * SECOND, 7, frozenset(range(10)), frozenset(range(10)))
-    assert lists.out(19 * SECOND) == frozenset()  # the own list has caught up: it knows better
+    assert lists.out(19 * SECOND) == frozenset()  # the own list has caught up
 
 
-def test_no_list_of_a_peer_empties_one_s_own() -> None:
+def test_a_peer_s_list_cannot_empty_the_own_one() -> None:
     lists = peer_lists()
     assert "at most 30%" in lists.on_announcement(1, 1000, tuple(range(10)))
     assert lists.out(1) == frozenset() and lists.ignored == 1
@@ -392,7 +398,7 @@
     assert lists.out(2) == {0, 1, 2}
 
 
-def test_what_leaves_is_told_and_passed_on() -> None:
+def test_leaving_servers_are_announced_and_forwarded() -> None:
     lists = peer_lists()
     lists.on_own(SECOND, 6, frozenset(range(2, 10)), frozenset(range(1, 10)))  # 1 drains, 0 is gone
     assert lists.announcement(SECOND, 25) == (6, (0, 1))
@@ -415,18 +421,18 @@
         Leaving(1, 2, 3, 1 << 40, (1, 1 << 60)),
     ],
 )
-def test_a_datagram_says_what_was_put_into_it(message: Report | Leaving) -> None:
+def test_a_datagram_round_trips(message: Report | Leaving) -> None:
     data = encode(message, SEAL)
     assert len(data) <= 256
-    cut = replace(message, reason=message.reason[:150]) if isinstance(message, Report) else message
-    assert decode(data, SEAL) == cut
+    expected = replace(message, reason=message.reason[:150]) if isinstance(message, Report) else message
+    assert decode(data, SEAL) == expected
     with pytest.raises(Bad):
         decode(data, Seal("fleet", b"other"))
 
 
 @settings(derandomize=True, database=None, deadline=None)
 @given(st.binary(max_size=256), st.sampled_from([64, 65, 66]))
-def test_any_bytes_end_in_a_message_or_in_bad(rest: bytes, kind: int) -> None:
+def test_decoding_any_bytes_gives_a_message_or_raises_bad(rest: bytes, kind: int) -> None:
     body = bytes((1, kind)) + SEAL.tag.to_bytes(2, "big") + rest[:244]
     for data in (rest, body + SEAL.of(body)):
         try:
@@ -440,5 +446,5 @@
     assert len(encode(Leaving(1, 2, 3, 4, tuple(range(99))), SEAL)) <= 256
 
 
-def test_marks_tell_proposals_of_one_number_apart() -> None:
+def test_digests_differ_for_proposals_of_the_same_version() -> None:
     assert proposal_digest(Rules(3, "a")) != proposal_digest(Rules(3, "b")) != proposal_digest(Rules(4, "b"))
--- a/tests/versions/test_ruled.py
+++ b/tests/versions/test_ruled.py
@@ -1,6 +1,9 @@
-"""Hard cases of settings in versions, several balancers on one virtual clock. What must hold at every instant
-(no two that are awake act on versions that contradict one another; a ban within the lease; never bolder in
-doubt) the world holds by itself: `broken`."""
+"""Difficult cases of settings changes, with several balancers on one virtual clock.
+
+The simulated world checks the invariants at every instant and lists violations in `broken`: no two running
+balancers apply conflicting versions, a ban is obeyed within the lease, and a degraded balancer is never more
+permissive than before.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 
 def world(count: int, seed: int = 1, text: str = SAFE, options: Options = TIMES, rate: float = 0.01) -> Ruled:
-    """All act on one version."""
+    """Start a world in which all balancers have applied one version."""
     day = Ruled(seed, count, options, rate=rate)
     day.start_all()
     assert day.run(30, day.at_rest)
@@ -31,7 +34,7 @@
 
 
 def propose(day: Ruled, number: int, text: str = UNSAFE, stages: tuple[tuple[int, ...], ...] = ()) -> int:
-    """Its version; it is committed, and nobody acts on it yet."""
+    """Propose settings and return their version; the proposal is committed and not applied yet."""
     book = day.spots[number].view.ruled.book
     assert day.order(number, Propose(msgspec.Raw(text.encode()), stages=stages)) == ""
     assert day.run(5, lambda: book.pages.pending is not None)
@@ -53,7 +56,7 @@
     }
 
 
-def test_a_class_turns_unsafe_while_a_third_is_cut_off() -> None:
+def test_a_class_becomes_unsafe_while_a_third_is_partitioned() -> None:
     day = world(6)
     day.groups = [frozenset({0, 1, 2, 3}), frozenset({4, 5})]
     version = propose(day, 0)
@@ -64,7 +67,7 @@
     assert day.broken == [] and day.longest["settings"] == 0
 
 
-def test_a_ban_put_on_the_small_side_is_everybody_s_once_the_cut_is_mended() -> None:
+def test_a_ban_set_in_the_minority_applies_to_all_after_the_partition_heals() -> None:
     day = world(5)
     day.groups = [frozenset({0, 1, 2}), frozenset({3, 4})]
     day.spots[4].view.ruled.ban("s1")
@@ -77,7 +80,7 @@
     assert day.broken == []
 
 
-def test_a_ban_that_is_taken_back_before_it_is_committed_does_not_stay() -> None:
+def test_a_ban_withdrawn_before_it_is_committed_does_not_stay() -> None:
     day = world(3)
     spot = day.spots[2]
     ruled = spot.view.ruled
@@ -95,13 +98,13 @@
     ruled = day.spots[2].view.ruled
     ruled.ban("s1")
     assert day.run(5, lambda: "s1" in day.spots[0].view.ruled.acts.out)
-    ruled.wanted["s1"] = ruled.wanted.get("s1", (Ban("s1", "2"), 1))  # as it has not looked round since
+    ruled.wanted["s1"] = ruled.wanted.get("s1", (Ban("s1", "2"), 1))  # as if it had not run since
     day.order(0, Unban("s1"))
     day.run(5)
     assert all(s.view.ruled.acts.out == frozenset() for s in day.spots) and not ruled.wanted
 
 
-def test_of_two_operators_on_one_version_one_is_turned_down() -> None:
+def test_of_two_proposals_on_the_same_version_one_is_rejected() -> None:
     day = world(5)
     first, second = day.spots[1].view, day.spots[3].view
     assert day.order(1, Propose(msgspec.Raw(UNSAFE.encode()))) == ""
@@ -113,7 +116,7 @@
     assert "under way" in day.order(1, Propose(msgspec.Raw(SAFE.encode())))
 
 
-def test_whoever_leads_dies_in_the_middle_and_another_leads_it_on() -> None:
+def test_the_leader_dies_in_the_joint_phase_and_a_new_one_continues() -> None:
     day = world(5)
     version = propose(day, 1)
     assert day.run(10, lambda: day.phase(1) is Phase.MIDDLE)
@@ -122,11 +125,11 @@
     began = day.now
     day.kill(day.spots[leader])
     assert day.run(30, lambda: len(in_force_at(day, version)) == 4)
-    assert day.now - began > day.rules.lease  # the next one waits anew
+    assert day.now - began > day.rules.lease  # the new leader starts the wait again
     assert day.broken == []
 
 
-def test_a_version_that_is_valid_at_all_but_one_is_in_force_nowhere() -> None:
+def test_a_version_that_one_balancer_rejects_is_in_force_nowhere() -> None:
     day = Ruled(3, 12, TIMES)
     day.stubborn[7] = "more at work"
     day.start_all()
@@ -138,7 +141,7 @@
     assert in_force_at(day, 0) == set(range(12))
 
 
-def test_the_voters_are_lost_while_half_of_the_fleet_is_in_the_middle() -> None:
+def test_the_voters_are_lost_while_half_of_the_fleet_is_in_the_joint_phase() -> None:
     day = world(6)
     voters = [n for n, _ in day.core(0).shared.log.seats.now]
     version = propose(day, 0)
@@ -147,12 +150,12 @@
         day.kill(day.spots[number])
     left = [s.number for s in day.up()]
     assert day.run(10, lambda: {mode(day, n) for n in left} == {"doubtful"})
-    assert day.rescue(left[0], voters=1) == ""  # the operator's word: alone
+    assert day.rescue(left[0], voters=1) == ""  # the operator lets it continue alone
     assert day.run(60, lambda: left[0] in in_force_at(day, version) or left[0] in in_force_at(day, 1))
     assert day.broken == []
 
 
-def test_who_stood_still_finds_itself_in_doubt_at_its_first_look() -> None:
+def test_a_paused_process_is_degraded_at_its_first_look() -> None:
     day = world(5)
     spot = day.spots[3]
     peer = spot.view
@@ -160,14 +163,14 @@
     day.stop(spot)
     version = propose(day, 0)
     assert day.run(30, lambda: in_force_at(day, version) == {0, 1, 2, 4})
-    spot.stopped = False  # awake, and what it had decided is about to be sent
+    spot.stopped = False  # resumed, with a decided request about to be sent
     assert peer.ruled.look() != stamp and peer.ruled.acts.doubtful
     day.resume(spot)
     assert day.run(30, lambda: len(in_force_at(day, version)) == 5)
     assert day.broken == []
 
 
-def test_back_from_nothing_it_is_in_doubt_until_it_has_heard() -> None:
+def test_after_a_start_without_state_it_is_degraded_until_it_has_a_lease() -> None:
     day = world(5)
     day.kill(day.spots[4])
     day.start(day.spots[4])
@@ -176,7 +179,7 @@
     assert day.spots[4].view.ruled.acts.version == day.spots[0].view.ruled.acts.version > 0
 
 
-def test_a_stage_that_does_harm_goes_back_through_the_middle() -> None:
+def test_a_harmful_stage_is_rolled_back() -> None:
     day = world(5)
     before = day.spots[0].view.ruled.acts.version
     version = propose(day, 0, stages=((2,), (3, 4)))
@@ -190,7 +193,7 @@
     assert day.broken == []
 
 
-def test_a_halt_by_hand_and_a_way_back_wait_for_the_lease() -> None:
+def test_a_halt_by_hand_waits_for_the_lease() -> None:
     day = world(5)
     before = day.spots[0].view.ruled.acts.version
     version = propose(day, 0)
@@ -203,7 +206,7 @@
     assert day.broken == []
 
 
-def test_with_refusing_in_doubt_a_ban_is_obeyed_by_all_within_the_lease() -> None:
+def test_with_doubt_refuse_a_ban_is_obeyed_by_all_within_the_lease() -> None:
     day = world(5)
     day.order(0, Lists(doubt="refuse"))
     day.run(3)
@@ -219,7 +222,7 @@
 
 
 @pytest.mark.parametrize("loss, rate", [(0.3, 0.01), (0.0, 0.01)])
-def test_loss_and_clocks_that_drift(loss: float, rate: float) -> None:
+def test_packet_loss_and_clock_drift(loss: float, rate: float) -> None:
     day = world(7, rate=rate)
     day.spots[0].rate, day.spots[1].rate = 1 + rate, 1 - rate
     day.weather.loss = loss
@@ -230,5 +233,5 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_drawn_day_keeps_every_rule(seed: int) -> None:
+def test_a_random_run_violates_no_invariant(seed: int) -> None:
     assert play(seed).broken == []
--- a/tests/versions/test_terms.py
+++ b/tests/versions/test_terms.py
@@ -1,5 +1,7 @@
-"""The table of what contradicts what, held against the rules: whatever a balancer does by the middle of two
-settings keeps the rules of both, and it is never bolder than either."""
+"""Checks the conflict tables against the rules.
+
+A balancer that applies the meet of two settings keeps the rules of both and never allows more than either.
+"""
 
 from __future__ import annotations
 
@@ -26,14 +28,14 @@
 from tests.harness import CLASSES, MS, S, World, entry, make_settings
 from tests.test_properties import LIMITS, Rules
 
-ALWAYS = settings(
+DETERMINISTIC = settings(
     derandomize=True,
     database=None,
     max_examples=200,
     deadline=None,
     suppress_health_check=[HealthCheck.too_slow],
 )
-FEWER = settings(LIMITS, max_examples=60)
+FEWER_EXAMPLES = settings(LIMITS, max_examples=60)
 CLASS = st.builds(
     RequestClass,
     name=st.sampled_from("abc"),
@@ -59,12 +61,12 @@
 )
 
 
-def test_every_field_has_been_judged() -> None:
+def test_every_field_is_classified() -> None:
     assert unclassified_fields() == []
 
 
 def guarded(one: Settings) -> Any:
-    """What must not depend on the order of two."""
+    """Returns the guarded values, for which the order of operands must not matter."""
     return (
         [
             getattr(one, f)
@@ -86,19 +88,19 @@
     )
 
 
-@ALWAYS
+@DETERMINISTIC
 @given(SETTINGS, SETTINGS, SETTINGS)
-def test_the_middle_is_a_meet(one: Settings, other: Settings, third: Settings) -> None:
+def test_the_joint_settings_are_a_meet(one: Settings, other: Settings, third: Settings) -> None:
     both = meet(one, other)
     assert bolder(both, one) == bolder(both, other) == []
     assert guarded(both) == guarded(meet(other, one)) and guarded(meet(both, one)) == guarded(both)
     assert guarded(meet_all([one, other, third])) == guarded(meet(one, meet(other, third)))
     assert not contradicts(one, one) and contradicts(one, other) == contradicts(other, one)
     if not contradicts(one, other):
-        assert bolder(one, other) == bolder(other, one) == []  # side by side neither allows more
+        assert bolder(one, other) == bolder(other, one) == []  # without conflict neither allows more
 
 
-def test_what_differs_is_named() -> None:
+def test_differences_name_the_fields() -> None:
     one = make_settings()
     other = replace(
         one,
@@ -109,11 +111,11 @@
     assert differences(one, other) == ["attempt_limit", "read.idempotency"]
     assert differences(one, other, FREE) == ["fairness", "read.worth"]
     assert not contradicts(one, replace(one, fairness=0.5)) and not contradicts(one, replace(one, zone=3))
-    assert meet(one, replace(one, fairness=0.5)) == one  # free fields are the first's
+    assert meet(one, replace(one, fairness=0.5)) == one  # FREE fields are those of the first
 
 
-# Classes that come as other kinds in another version, each beside each.
-TURNED = tuple(
+# The same classes with other kinds of idempotency, so that each kind meets each other.
+CHANGED_CLASSES = tuple(
     replace(c, idempotency=k, scope=s, window=w)
     for c, (k, s, w) in zip(
         CLASSES,
@@ -128,17 +130,17 @@
     )
 )
 FIRST = make_settings(attempt_limit=3, copies_allowed=True)
-SECOND = make_settings(classes=TURNED, attempt_limit=2, copies_allowed=False)
+SECOND = make_settings(classes=CHANGED_CLASSES, attempt_limit=2, copies_allowed=False)
 
 
-class Middle(Rules):
-    """The harness checks each send by the rules of one version, the balancer acts on the middle of two."""
+class Joint(Rules):
+    """The harness checks each send by the rules of one version; the balancer applies the meet of two."""
 
-    truth = FIRST
+    checked_settings = FIRST
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World(self.truth)
+        self.world = World(self.checked_settings)
         self.world.balancer = Balancer(meet(FIRST, SECOND), 1)
         self.world.timers.clear()
         self.world.play(self.world.balancer.on_start(self.world.now))
@@ -149,14 +151,14 @@
         self.world.play(self.world.balancer.on_word(self.world.now, Word(frozenset(out), doubtful=doubtful)))
 
 
-class MiddleBySecond(Middle):
-    truth = SECOND
+class JointBySecond(Joint):
+    checked_settings = SECOND
 
 
-class Doubtful(Middle):
-    """In doubt on the first version while the second one holds in truth: no repeat, whatever it believes."""
+class Degraded(Joint):
+    """A degraded balancer on the first version while the second is in force: it must not repeat a request."""
 
-    truth = make_settings(
+    checked_settings = make_settings(
         classes=tuple(replace(c, idempotency=Idempotency.UNSAFE) for c in CLASSES), copies_allowed=False
     )
 
@@ -173,22 +175,22 @@
         super().word(True, set(out))
 
 
-TestMiddle = Middle.TestCase
-TestMiddle.settings = FEWER
-TestMiddleBySecond = MiddleBySecond.TestCase
-TestMiddleBySecond.settings = FEWER
-TestDoubtful = Doubtful.TestCase
-TestDoubtful.settings = FEWER
+TestJoint = Joint.TestCase
+TestJoint.settings = FEWER_EXAMPLES
+TestJointBySecond = JointBySecond.TestCase
+TestJointBySecond.settings = FEWER_EXAMPLES
+TestDegraded = Degraded.TestCase
+TestDegraded.settings = FEWER_EXAMPLES
 
 
-def test_the_harness_finds_a_balancer_that_acts_on_the_bolder_version() -> None:
-    class Bold(MiddleBySecond):
+def test_the_harness_finds_a_balancer_that_applies_the_more_permissive_version() -> None:
+    class Permissive(JointBySecond):
         def __init__(self) -> None:
             super().__init__()
             self.world.balancer = Balancer(FIRST, 1)
             self.world.play(self.world.balancer.on_start(self.world.now))
             self.world.announce(ListKind.CACHED, *(entry(n) for n in range(6)))
 
-    found = settings(FEWER, phases=[Phase.generate], report_multiple_bugs=False)
+    found = settings(FEWER_EXAMPLES, phases=[Phase.generate], report_multiple_bugs=False)
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(Bold, settings=found)  # type: ignore[no-untyped-call]
+        run_state_machine_as_test(Permissive, settings=found)  # type: ignore[no-untyped-call]
