--- a/tests/versions/test_parts.py
+++ b/tests/versions/test_parts.py
@@ -57,7 +57,7 @@
 def test_a_proposal_goes_through_its_phases_and_other_changes_are_ignored() -> None:
     store = config_store(*COMMITTED, proposal(), Middle(3))
     assert store.pages.pending is not None and store.pages.pending.phase is Phase.MIDDLE
-    late: list[changes.Change] = [
+    ignored: list[changes.Change] = [
         Middle(3),
         Refuse(3, "late"),
         Force(2),
@@ -65,10 +65,10 @@
         Halt(9, ""),
         proposal(FREE),
     ]
-    for n, strange in enumerate(late):
+    for n, change in enumerate(ignored):
         before = without_version(store)
-        store.apply(5 + n, pack(strange))
-        assert without_version(store) == before, strange
+        store.apply(5 + n, pack(change))
+        assert without_version(store) == before, change
     store.apply(11, pack(Force(3)))
     assert (store.pages.rules.version, store.pages.past[0].version) == (3, 1)
     assert store.find(1) is not None and store.find(0) is None  # no rollback to the settings of the files
