--- a/dykeshift/sim/__init__.py
+++ b/dykeshift/sim/__init__.py
@@ -1,1 +1,1 @@
-"""The whole balancer on a virtual clock: real program code, a virtual machine, faults from seeds."""
+"""Deterministic simulation: real balancer code in virtual time on simulated machines, with seeded faults."""
--- a/dykeshift/sim/day.py
+++ b/dykeshift/sim/day.py
@@ -1,8 +1,9 @@
-"""One day: real balancers, stand-ins and faults, put together from a scenario and played to its end.
+"""One simulation run: real balancers, stand-ins and faults, built from a scenario and run to its end.
 
-The balancers are the program's own `serve`, unchanged; the day gives them a loop, a clock and a network.
-What it sees of them goes to the referee: bytes on the wire, what clients and senders saw, and the actions
-of the module (taken where `serve` hands out its parts), for the one rule that the wire cannot show.
+The balancers run the program's own `serve`, unchanged, on a simulated event loop, clock and network. What is
+observed of them goes to the referee: bytes on their connections, what clients and senders saw, and the
+actions of the decision module (recorded where `serve` hands out its parts), for the one rule that cannot be
+checked from outside.
 """
 
 from __future__ import annotations
@@ -18,16 +19,26 @@
 from dykeshift.sim import referee as rules
 from dykeshift.sim.faults import Faults
 from dykeshift.mllp.memory import identify
-from dykeshift.sim.installation import DEADLINES, MLLP_PORT, STANDSTILL, Node, Post
-from dykeshift.sim.kernel import EPOCH, MS, SECOND, Flavour, Host, Line, LivelockError, Process, World
+from dykeshift.sim.installation import DEADLINES, MLLP_PORT, TOLERATED_STALL, Node, SenderSite
+from dykeshift.sim.kernel import (
+    EPOCH,
+    MS,
+    SECOND,
+    Platform,
+    Host,
+    TraceCallback,
+    LivelockError,
+    Process,
+    World,
+)
 from dykeshift.sim.loop import Program
-from dykeshift.sim.net import Cut, Endpoint, Network, Weather
-from dykeshift.sim.operators import Duty
-from dykeshift.sim.reach import Reach
+from dykeshift.sim.net import Partition, Endpoint, Network, NetworkConditions
+from dykeshift.sim.operators import OperatorClient
+from dykeshift.sim.reach import DiscoveryReachability
 from dykeshift.sim.referee import Breach, Referee, Terms
-from dykeshift.sim.scenario import CLASSES, HEAL, KINDS, PROBES, RECOVERY, Ask, Scenario
+from dykeshift.sim.scenario import CLASSES, FAULTS_END, KINDS, PROBE_PERIOD, RECOVERY, Ask, Scenario
 from dykeshift.sim.views import Views
-from dykeshift.sim.wire import Wire
+from dykeshift.sim.wire import ConnectionObserver
 from dykeshift.standins import hl7
 from dykeshift.standins.client import Crowd, Errand, Front
 from dykeshift.standins.clinic import Clinic, Letter
@@ -35,15 +46,15 @@
 from dykeshift.standins.registry import Instance, Registry
 from dykeshift.standins.sender import Rack, Sender
 
-LONGEST = 1.5  # seconds: the longest deadline of a class
-ASK_EVERY = 10.0  # seconds in which a balancer must have asked discovery
-SERVED_AGAIN = 0.9  # part of the last errands that must be served
-TIMERS, TASKS, SOCKETS = 14, 4, 3  # what a quiet balancer may have of each
+LONGEST_DEADLINE = 1.5  # seconds: the longest deadline of a class
+ASK_EVERY = 10.0  # seconds within which a balancer must have sent a request to discovery
+MIN_SERVED_SHARE = 0.9  # share of the probe requests after the faults that must be served
+MAX_TIMERS, MAX_TASKS, MAX_SOCKETS = 14, 4, 3  # the most that an idle balancer may have of each
 
 
 @dataclass(slots=True)
 class Result:
-    """What a day came to. Breaches in the order found; figures are counts."""
+    """The result of a run. Breaches are in the order found; figures are counts."""
 
     seed: str
     breaches: list[Breach]
@@ -54,19 +65,19 @@
 
     @property
     def rules(self) -> list[str]:
-        """The names of the broken rules, sorted, each once."""
+        """The names of the broken rules, sorted and without duplicates."""
         return sorted({b.rule for b in self.breaches})
 
 
-class Day:
-    """The world of one scenario, and its play."""
+class Simulation:
+    """The simulated world of one scenario, and its run."""
 
-    def __init__(self, scenario: Scenario, tracing: Line | None = None) -> None:
+    def __init__(self, scenario: Scenario, tracing: TraceCallback | None = None) -> None:
         options = scenario.options
         self.scenario = scenario
         self.world = World(
             scenario.seed,
-            Flavour(
+            Platform(
                 uvloop=options.uvloop,
                 grid=max(1, options.grid_us * 1000),
                 tear=options.tear,
@@ -76,11 +87,11 @@
         )
         self.world.tracing = tracing
         self.rng: Random = self.world.stream("day")
-        self.net = Network(self.world, Weather())
+        self.net = Network(self.world, NetworkConditions())
         self.referee = Referee(
             Terms(window=int(options.window * SECOND)),
             self.excuse,
-            self.parted,
+            self.was_partitioned,
             lambda balancer: self.reach.since.get(balancer, self.world.now),
         )
         self.racks = [Rack() for _ in range(options.racks)]
@@ -91,26 +102,26 @@
         self.registry_hosts: dict[str, Host] = {}
         self.listing: dict[str, Instance] = {}
         self.discovery = ("10.2.0.1", 8500)
-        self.readers: dict[Endpoint, Wire] = {}
+        self.observers: dict[Endpoint, ConnectionObserver] = {}
         self.outcome: dict[str, str] = {}
-        self.letters: dict[str, str] = {}  # clinics' messages, by the module's names of them
-        self.behind = 0  # senders with work left from before when the last errands come
-        self.rids: dict[str, str] = {}  # the ids under which they went to HTTP senders
-        self.net.tap, self.net.arrival = self._handed_over, self._arrived
+        self.message_names: dict[str, str] = {}  # see SimulationContext
+        self.overloaded_senders = 0  # senders with a long backlog when the probe requests start
+        self.http_request_ids: dict[str, str] = {}  # see SimulationContext
+        self.net.on_write, self.net.on_receive = self._on_write, self._on_receive
         self.start_registry(self.discovery)
-        self.posts = [Post(self, self, n) for n in range(options.senders)]
-        for post in self.posts:
-            post.start(cold=False)
+        self.sites = [SenderSite(self, self, n) for n in range(options.senders)]
+        for site in self.sites:
+            site.start(cold=False)
         self.nodes = [Node(self, n) for n in range(options.balancers)]
         self.by_address = {node.address: node for node in self.nodes}
         self.by_host = {node.host.name: node for node in self.nodes}
         self.world.watchers.append(self.referee.step)
-        self.net.weather.udp_loss = options.peer_loss
+        self.net.conditions.udp_loss = options.peer_loss
         self.views = Views(self.nodes, self.world, self._view_breach) if options.view else None
         self._start_clients()
         self._start_operators()
         self.faults = Faults(self)
-        self.reach = Reach(self)
+        self.reach = DiscoveryReachability(self)
 
     def _view_breach(self, text: str) -> None:
         self.referee.breach(rules.VIEW, self.world.now, text)
@@ -118,7 +129,7 @@
     # ---- discovery ----
 
     def start_registry(self, address: tuple[str, int]) -> None:
-        """Start a discovery process at an address, on a machine of its own."""
+        """Start a discovery server at an address, on a host of its own."""
         host = self.registry_hosts.get(address[0]) or self.net.host(address[0], "z0")
         self.registry_hosts[address[0]] = host
         registry = Registry(self.world.stream(f"registry/{address[0]}/{self.world.now}"))
@@ -129,8 +140,8 @@
         process.loop.start(registry.serve(*address))
         self.registries[address], self.registry_processes[address] = registry, process
 
-    def list_later(self, delay: float, instance: Instance) -> None:
-        """Enter an instance at all discoveries, after `delay` seconds."""
+    def register_later(self, delay: float, instance: Instance) -> None:
+        """Register an instance with all discovery servers after `delay` seconds."""
 
         def put() -> None:
             sender = self.by_name[instance.id]
@@ -139,7 +150,7 @@
             self.listing[instance.id] = instance
             self.referee.shown(self.world.now, instance.id, instance.lifecycle == "active")
             for address, registry in self.registries.items():
-                self.inside(self.registry_processes[address], registry.put, instance)
+                self.call_in_process(self.registry_processes[address], registry.put, instance)
 
         if delay:
             self.world.after(int(delay * SECOND), put)
@@ -148,8 +159,8 @@
             for registry in self.registries.values():
                 registry.listed[instance.id] = instance
 
-    def leave_later(self, delay: float, name: str, lifecycle: str) -> None:
-        """Change an instance's lifecycle at all discoveries, after `delay` seconds."""
+    def set_lifecycle_later(self, delay: float, name: str, lifecycle: str) -> None:
+        """Change an instance's lifecycle at all discovery servers after `delay` seconds."""
 
         def leave() -> None:
             known = self.listing.get(name)
@@ -159,13 +170,13 @@
                 del self.listing[name]
             self.referee.shown(self.world.now, name, False)
             for address, registry in self.registries.items():
-                self.inside(self.registry_processes[address], registry.leave, name, lifecycle)
+                self.call_in_process(self.registry_processes[address], registry.leave, name, lifecycle)
 
         self.world.after(int(delay * SECOND), leave)
 
     @staticmethod
-    def inside(process: Process, call: Callable[..., Any], *args: Any) -> None:
-        """Have a process do something in its next round."""
+    def call_in_process(process: Process, call: Callable[..., Any], *args: Any) -> None:
+        """Call something in a process's event loop, in its next iteration."""
         if process.alive:
             process.loop.call_soon(call, *args)
 
@@ -173,7 +184,7 @@
 
     def _start_clients(self) -> None:
         host = self.net.host("10.9.0.1", "z0")
-        host.steady = True
+        host.spike_free = True
         process = self.clients = Program(self.world, host, "clients")
         self.net.attach(process)
         front = self.front = Front(self.world.stream("front"), self.scenario.options.front_notice)
@@ -188,9 +199,9 @@
         self._open_clinics()
         for number, ask in enumerate(self.scenario.asks):
             klass = CLASSES[ask.klass]
-            name = f"e{number}" if ask.at < HEAL else f"p{number}"
+            name = f"e{number}" if ask.at < FAULTS_END else f"p{number}"
             if ask.clinic >= 0:
-                self.world.at(EPOCH + int(ask.at * SECOND), self._write_letter, name, ask)
+                self.world.at(EPOCH + int(ask.at * SECOND), self._send_message, name, ask)
                 continue
             errand = Errand(
                 name,
@@ -206,27 +217,27 @@
             self.world.at(EPOCH + int(ask.at * SECOND), self._begin, errand)
 
     def _begin(self, errand: Errand) -> None:
-        self.inside(self.clients, self.crowd.begin, errand)
+        self.call_in_process(self.clients, self.crowd.begin, errand)
 
     def _errand_ended(self, errand: Errand, how: str, answer: Message | None) -> None:
         status = f" {answer.status}" if answer is not None else ""
         self.outcome[errand.name] = how + status
-        self.world.note(f"{errand.name} ends: {how}{status}")
+        self.world.trace(f"{errand.name} ends: {how}{status}")
 
     def _start_operators(self) -> None:
         if not self.scenario.options.consoles:
             return
         host = self.net.host("10.8.0.1", "z0")
-        host.steady = True
+        host.spike_free = True
         process = Program(self.world, host, "operators")
         self.net.attach(process)
-        self.duties = {node.name: Duty(self, process, node) for node in self.nodes}
-        for duty in self.duties.values():
-            duty.read()
+        self.operators = {node.name: OperatorClient(self, process, node) for node in self.nodes}
+        for operator in self.operators.values():
+            operator.read()
 
-    def duty(self, node: Node) -> Duty:
+    def operator_for(self, node: Node) -> OperatorClient:
         """The operator of a balancer."""
-        return self.duties[node.name]
+        return self.operators[node.name]
 
     def _open_clinics(self) -> None:
         nodes = self.nodes
@@ -235,13 +246,13 @@
                 (nodes[n % len(nodes)].address[0], MLLP_PORT),
                 self,
                 self.world.stream(f"clinic/{n}"),
-                self._letter_ended,
+                self._message_ended,
                 unread=lambda line, frame: line.transport.endpoint.peer.consumed < frame.end,
             )
             for n in range(self.scenario.options.clinics)
         ]
 
-    def _write_letter(self, name: str, ask: Ask) -> None:
+    def _send_message(self, name: str, ask: Ask) -> None:
         seconds, rest = divmod(self.world.unix(), SECOND)
         when = datetime.fromtimestamp(seconds, UTC).strftime("%Y%m%d%H%M%S")
         note = hl7.Note(
@@ -254,27 +265,27 @@
         )
         content = note.content()
         identity = identify(note.clinic.encode(), note.facility.encode(), name.encode(), content)
-        self.letters[identity.key()] = name
-        # A deadline of its own is not told: the mapping's holds.
+        self.message_names[identity.key()] = name
+        # A clinic sends no deadline: the one of the configured mapping applies.
         patience = DEADLINES[note.klass] / 1000
         letter = Letter(note, patience, ask.retries, ask.leaves, ask.half, ask.twin)
-        self.inside(self.clients, self.clinics[ask.clinic].send, letter)
+        self.call_in_process(self.clients, self.clinics[ask.clinic].send, letter)
 
-    def _letter_ended(self, letter: Letter, code: str) -> None:
+    def _message_ended(self, letter: Letter, code: str) -> None:
         name = letter.note.control_id
         self.outcome[name] = "done 200" if code[1:] == "A" else f"ended {code or 'unheard'}"
-        self.world.note(f"{name} ends: {self.outcome[name]}")
+        self.world.trace(f"{name} ends: {self.outcome[name]}")
 
-    # The account that clinics give (standins.clinic.Account).
+    # What clinics report (standins.clinic.Account).
 
     def framed(self, letter: Letter, number: int, to: tuple[str, int], ahead: list[tuple[str, int]]) -> None:
         """See `standins.clinic.Account`."""
         name, node = letter.note.control_id, self.by_host[to[0]]
-        self.world.note(
+        self.world.trace(
             f"{name}/{number} ({KINDS[letter.note.klass]}, {letter.patience * 1000:.0f} ms, "
             f"{letter.note.mode}) to {node.name}"
         )
-        now = self._here()
+        now = self._client_now()
         self.referee.framed(
             now, name, number, KINDS[letter.note.klass], node.name, now + int(letter.patience * SECOND), ahead
         )
@@ -282,74 +293,78 @@
     def acknowledged(self, letter: Letter, number: int, to: tuple[str, int], code: str, last: bool) -> None:
         """See `standins.clinic.Account`."""
         name = letter.note.control_id
-        self.world.note(f"{name}/{number} has {code}")
+        self.world.trace(f"{name}/{number} has {code}")
         if last:
             certain = not (self.scenario.options.mllp_senders and letter.note.mode == "accept")
-            self.referee.acknowledged(self._here(), name, number, code, certain)
+            self.referee.acknowledged(self._client_now(), name, number, code, certain)
 
     def cut_off(self, letter: Letter, number: int, to: tuple[str, int]) -> None:
         """See `standins.clinic.Account`."""
-        self.world.note(f"{letter.note.control_id}/{number} is cut off")
-        self.referee.cut_off(self._here(), letter.note.control_id, number)
+        self.world.trace(f"{letter.note.control_id}/{number} is cut off")
+        self.referee.cut_off(self._client_now(), letter.note.control_id, number)
 
     def unheard(self, letter: Letter, number: int, to: tuple[str, int]) -> None:
         """See `standins.clinic.Account`."""
-        self.world.note(f"{letter.note.control_id}/{number} is not listened for any more")
-        self.referee.unheard(self._here(), letter.note.control_id, number)
+        self.world.trace(f"{letter.note.control_id}/{number} is not listened for any more")
+        self.referee.unheard(self._client_now(), letter.note.control_id, number)
 
     def stray(self, to: tuple[str, int], data: bytes) -> None:
         """See `standins.clinic.Account`."""
-        self.referee.extra(self._here(), self.by_host[to[0]].name, data)
+        self.referee.extra(self._client_now(), self.by_host[to[0]].name, data)
 
-    def _here(self) -> int:
-        return self.world.now + self.clients.loop.spent
+    def _client_now(self) -> int:
+        return self.world.now + self.clients.loop.round_elapsed
 
-    # The account that clients give (standins.client.Account).
+    # What clients report (standins.client.Account).
 
     def sent(self, errand: Errand, rid: str, to: tuple[str, int]) -> None:
         """See `standins.client.Account`."""
-        now = self._here()
+        now = self._client_now()
         patience = f"{errand.kind}, {errand.deadline * 1000:.0f} ms"
-        self.world.note(f"{rid} ({patience}) to {self.by_address[to].name}")
+        self.world.trace(f"{rid} ({patience}) to {self.by_address[to].name}")
         self.referee.asked(
             now, rid, errand.name, errand.kind, self.by_address[to].name, now + int(errand.deadline * SECOND)
         )
 
     def answered(self, errand: Errand, rid: str, to: tuple[str, int], answer: Message) -> None:
         """See `standins.client.Account`."""
-        self.world.note(f"{rid} has {answer.status}")
+        self.world.trace(f"{rid} has {answer.status}")
         node = self.by_address[to]
         if answer.status == 400 and not any(
-            begin <= self._here() and end >= self._here() - SECOND for begin, end in node.changes
+            begin <= self._client_now() and end >= self._client_now() - SECOND
+            for begin, end in node.settings_changes
         ):
-            self.referee.breach(rules.REJECTED, self._here(), f"{node.name} rejects {rid} ({errand.klass})")
-        self.referee.answered(self._here(), rid, answer.status, answer.body.decode("latin-1"))
+            self.referee.breach(
+                rules.REJECTED, self._client_now(), f"{node.name} rejects {rid} ({errand.klass})"
+            )
+        self.referee.answered(self._client_now(), rid, answer.status, answer.body.decode("latin-1"))
 
     def broken(self, errand: Errand, rid: str, to: tuple[str, int], begun: bool) -> None:
         """See `standins.client.Account`."""
-        self.world.note(f"{rid} broke off")
+        self.world.trace(f"{rid} broke off")
         spoilt = begun and any(
-            wire.rid == rid and endpoint.error is not None for endpoint, wire in self.readers.items()
+            observer.rid == rid and endpoint.error is not None
+            for endpoint, observer in self.observers.items()
         )
-        self.referee.broken(self._here(), rid, again=False, spoilt=spoilt)
+        self.referee.broken(self._client_now(), rid, again=False, spoilt=spoilt)
 
     def left(self, errand: Errand, rid: str, to: tuple[str, int]) -> None:
         """See `standins.client.Account`."""
-        self.world.note(f"{rid} is left by its client")
-        self.referee.gone(self._here(), rid)
+        self.world.trace(f"{rid} is left by its client")
+        self.referee.gone(self._client_now(), rid)
 
     def extra(self, to: tuple[str, int], data: bytes) -> None:
         """See `standins.client.Account`."""
-        self.referee.extra(self._here(), self.by_address[to].name, data)
+        self.referee.extra(self._client_now(), self.by_address[to].name, data)
 
-    # The witness that senders have (standins.sender.Witness).
+    # What senders report (standins.sender.Witness).
 
     def _sender_now(self, sender: Sender) -> int:
         return self.world.now
 
     def arrived(self, sender: Sender, request: Message) -> None:
         """See `standins.sender.Witness`."""
-        self.world.note(f"{sender.name} takes {request.headers['x-request-id']}")
+        self.world.trace(f"{sender.name} takes {request.headers['x-request-id']}")
 
     def ran(self, sender: Sender, request: Message, repeat: bool) -> None:
         """See `standins.sender.Witness`."""
@@ -359,74 +374,74 @@
 
     def turned_away(self, sender: Sender, request: Message) -> None:
         """See `standins.sender.Witness`."""
-        self.world.note(f"{sender.name} turns {request.headers['x-request-id']} away")
+        self.world.trace(f"{sender.name} turns {request.headers['x-request-id']} away")
 
     def fell(self, sender: Sender) -> None:
         """See `standins.sender.Witness`."""
-        self.world.note(f"{sender.name} falls over")
+        self.world.trace(f"{sender.name} falls over")
         self.referee.fell(self.world.now, sender.name)
 
-    # ---- the wire ----
+    # ---- network traffic ----
 
-    def _handed_over(self, endpoint: Endpoint, data: bytes) -> None:
+    def _on_write(self, endpoint: Endpoint, data: bytes) -> None:
         node = self.by_host.get(endpoint.host.name)
         if node is None:
             return
         if endpoint.peer.host.name.startswith("10.1."):
-            self._wire(endpoint).out(node, data)
+            self._observer(endpoint).on_sent(node, data)
         elif endpoint.peer.host.name.startswith("10.2."):
-            node.asked = self.world.now
+            node.last_discovery_request = self.world.now
 
-    def _arrived(self, endpoint: Endpoint, data: bytes) -> None:
+    def _on_receive(self, endpoint: Endpoint, data: bytes) -> None:
         node = self.by_host.get(endpoint.host.name)
         if node is None:
             return
         if endpoint.peer.host.name.startswith("10.1."):
-            self._wire(endpoint).back(data)
+            self._observer(endpoint).on_sender_bytes(data)
         elif endpoint.peer.host.name.startswith("10.2."):
-            self._wire(endpoint).list(node, data)
+            self._observer(endpoint).on_discovery_bytes(node, data)
 
-    def _wire(self, endpoint: Endpoint) -> Wire:
-        wire = self.readers.get(endpoint)
-        if wire is None:
-            wire = self.readers[endpoint] = Wire(self, endpoint)
-        return wire
+    def _observer(self, endpoint: Endpoint) -> ConnectionObserver:
+        observer = self.observers.get(endpoint)
+        if observer is None:
+            observer = self.observers[endpoint] = ConnectionObserver(self, endpoint)
+        return observer
 
-    # ---- what excuses ----
+    # ---- excuses ----
 
     def excuse(self, balancer: str, sent: int, since: int, until: int) -> bool:
-        """Whether a death, a stall or a cut kept the balancer from answering; times in nanoseconds."""
+        """Whether a kill, a stall or a partition kept the balancer from answering; times in nanoseconds."""
         node = next(n for n in self.nodes if n.name == balancer)
-        if any(sent <= at <= until and excused for at, excused in node.deaths):
+        if any(sent <= at <= until and excused for at, excused in node.exits):
             return True
         if any(begin <= until and end >= since - 20 * MS for begin, end in node.stalls):
             return True
-        return self.parted(balancer, sent, until)
+        return self.was_partitioned(balancer, sent, until)
 
-    def parted(self, balancer: str, since: int, until: int) -> bool:
-        """Whether the balancer's host was cut off for some of that time (nanoseconds)."""
+    def was_partitioned(self, balancer: str, since: int, until: int) -> bool:
+        """Whether clients could not reach the balancer for part of that time (nanoseconds)."""
         node = next(n for n in self.nodes if n.name == balancer)
         return any(
             begin <= until and end >= since and node.host.name in hosts for hosts, begin, end in self.outages
         )
 
-    def outage(self, hosts: frozenset[str], length: int) -> Cut:
-        """Cut these hosts off from all others for a while."""
+    def outage(self, hosts: frozenset[str], length: int) -> Partition:
+        """Partition these hosts from all others for `length` nanoseconds."""
         now = self.world.now
-        apart = frozenset(
+        unreachable = frozenset(
             n.host.name for n in self.nodes if (n.host.name in hosts) != (self.clients.host.name in hosts)
         )
-        self.outages.append((apart, now, now + length + 300 * MS))
-        cut = Cut(hosts)
-        self.net.cut(cut)
-        self.world.after(length, self.net.mend, cut)
-        return cut
+        self.outages.append((unreachable, now, now + length + 300 * MS))
+        partition = Partition(hosts)
+        self.net.partition(partition)
+        self.world.after(length, self.net.remove_partition, partition)
+        return partition
 
-    # ---- play ----
+    # ---- the run ----
 
     def play(self, stop_at_first: bool = False) -> Result:
-        """Play the day to its end, or to its first breach."""
-        handler = _Ears(self)
+        """Run the scenario to its end, or to the first breach."""
+        handler = _LogWatcher(self)
         logger = logging.getLogger("dykeshift")
         before = logger.level, logger.propagate
         logger.setLevel(logging.WARNING)
@@ -455,7 +470,7 @@
                 "refused": referee.refused,
                 "failed": referee.failed,
                 "requests": len(referee.entries),
-                "attempts": sum(len(e.tries) for e in referee.entries.values()),
+                "attempts": sum(len(e.attempt_log) for e in referee.entries.values()),
             },
         )
 
@@ -465,41 +480,45 @@
         for node in self.nodes:
             node.start(known)
         self.faults.schedule()
-        self.world.at(EPOCH + int((HEAL + RECOVERY) * SECOND) - 1, self._look_behind)
-        end = HEAL + RECOVERY + PROBES + max(LONGEST, self.scenario.options.longest) + 0.5
+        self.world.at(EPOCH + int((FAULTS_END + RECOVERY) * SECOND) - 1, self._count_overloaded_senders)
+        end = (
+            FAULTS_END + RECOVERY + PROBE_PERIOD + max(LONGEST_DEADLINE, self.scenario.options.longest) + 0.5
+        )
         self.world.run(EPOCH + int(end * SECOND), stop)
         if stop_at_first and self.referee.breaches:
             return
         self._check_service()
-        self.inside(self.clients, self.crowd.hang_up)
+        self.call_in_process(self.clients, self.crowd.hang_up)
         for clinic in self.clinics:
-            self.inside(self.clients, clinic.hang_up)
+            self.call_in_process(self.clients, clinic.hang_up)
         quiet = end + self.scenario.options.keepalive
         self.world.run(EPOCH + int((quiet + 1.0) * SECOND), stop)
         self.clients.kill()
-        self.world.run(EPOCH + int(max(quiet + 2.0, HEAL + ASK_EVERY + 1.0) * SECOND), stop)
+        self.world.run(EPOCH + int(max(quiet + 2.0, FAULTS_END + ASK_EVERY + 1.0) * SECOND), stop)
         if self.views is not None:
-            self.net.weather.udp_loss = 0.0
+            self.net.conditions.udp_loss = 0.0
             self.world.run(self.world.now + int(8.0 * SECOND), stop)
             self.views.check_settled()
         self._check_leaks()
 
-    def _look_behind(self) -> None:
-        """Senders that have more work from before than they can do before the last errands' time is over."""
-        self.behind = sum(p.sender is not None and p.sender.backlog() > LONGEST for p in self.posts)
+    def _count_overloaded_senders(self) -> None:
+        """Count senders with a backlog longer than the probe requests' deadlines."""
+        self.overloaded_senders = sum(
+            p.sender is not None and p.sender.backlog() > LONGEST_DEADLINE for p in self.sites
+        )
 
     def _check_service(self) -> None:
         last = [n for n in self.outcome if n.startswith("p")]
         served = sum(self.outcome[n] == "done 200" for n in last)
-        asked = sum(a.at >= HEAL for a in self.scenario.asks)
+        asked = sum(a.at >= FAULTS_END for a in self.scenario.asks)
         cold = sum(
-            p.sender is None or p.sender.warmth() < 1 or p.name() in self.referee.returned for p in self.posts
+            p.sender is None or p.sender.warmth() < 1 or p.name() in self.referee.unbanned for p in self.sites
         )
-        if 2 * cold >= len(self.posts) or 2 * self.behind >= len(self.posts):
-            return  # the cold budget goes before service; what was taken before goes before what comes
-        if asked and served < SERVED_AGAIN * asked:
+        if 2 * cold >= len(self.sites) or 2 * self.overloaded_senders >= len(self.sites):
+            return  # too many senders are cold or still busy: the probe requests cannot all be served
+        if asked and served < MIN_SERVED_SHARE * asked:
             self.referee.breach(
-                rules.DEAF,
+                rules.NOT_SERVED_AGAIN,
                 self.world.now,
                 f"{served} of {asked} requests are served {RECOVERY:.0f} s after the last " "fault",
             )
@@ -510,12 +529,14 @@
             if process is None or not process.alive:
                 self.referee.breach(rules.FAULT, self.world.now, f"{node.name} does not run in the end")
                 continue
-            for fault in process.loop.faults:
+            for fault in process.loop.uncaught_errors:
                 self.referee.breach(rules.FAULT, self.world.now, f"{process.name}: {fault}")
-            silent = (self.world.now - node.asked) / SECOND
+            silent = (self.world.now - node.last_discovery_request) / SECOND
             if silent > ASK_EVERY:
                 self.referee.breach(
-                    rules.DEAF, self.world.now, f"{process.name} has not asked discovery for {silent:.1f} s"
+                    rules.NOT_SERVED_AGAIN,
+                    self.world.now,
+                    f"{process.name} has not asked discovery for {silent:.1f} s",
                 )
             found = self._count(node, process)
             bad = [
@@ -529,9 +550,9 @@
                     ("clients", 0),
                     ("clients counted as served", 0),
                     ("connects", 0),
-                    ("descriptors", SOCKETS + len(node.services)),
-                    ("timers", TIMERS),
-                    ("tasks", TASKS),
+                    ("descriptors", MAX_SOCKETS + len(node.services)),
+                    ("timers", MAX_TIMERS),
+                    ("tasks", MAX_TASKS),
                 )
                 if found[what] > most or found[what] < 0
             ]
@@ -559,37 +580,39 @@
         }
 
 
-class _Ears(logging.Handler):
-    """Hears when the program reports a fault of its own."""
+class _LogWatcher(logging.Handler):
+    """Traces the program's warnings, and turns the errors that it logs into breaches."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, simulation: Simulation) -> None:
         super().__init__(logging.WARNING)
-        self.day = day
+        self.simulation = simulation
 
     def emit(self, record: logging.LogRecord) -> None:
         text = record.getMessage()
-        self.day.world.note(f"log: {text}")
+        self.simulation.world.trace(f"log: {text}")
         if record.exc_info and record.exc_info[1] is not None:
             error = record.exc_info[1]
-            self.day.referee.breach(
-                rules.FAULT, self.day.world.now, f"{text}: {type(error).__name__}: {error}"
+            self.simulation.referee.breach(
+                rules.FAULT, self.simulation.world.now, f"{text}: {type(error).__name__}: {error}"
             )
-        elif self._too_late(record) and self._stood_still():
-            pass  # nobody could have answered sooner
+        elif self._too_late(record) and self._recently_stalled():
+            pass  # a stalled balancer could not have answered sooner
         elif record.levelno >= logging.ERROR and "configuration" not in text:
-            self.day.referee.breach(rules.FAULT, self.day.world.now, text)
+            self.simulation.referee.breach(rules.FAULT, self.simulation.world.now, text)
 
     @staticmethod
     def _too_late(record: logging.LogRecord) -> bool:
         fields = getattr(record, "fields", {})
         return fields.get("invariant") == Invariant.ANSWER_BEFORE_END.name.lower()
 
-    def _stood_still(self) -> bool:
-        """Whether a balancer has just stood still for longer than it may."""
-        now = self.day.world.now
-        return any(node.stood_still(now - SECOND, now) > STANDSTILL * SECOND for node in self.day.nodes)
+    def _recently_stalled(self) -> bool:
+        """Whether a balancer was stalled within the last second for longer than the tolerance."""
+        now = self.simulation.world.now
+        return any(
+            node.stalled_time(now - SECOND, now) > TOLERATED_STALL * SECOND for node in self.simulation.nodes
+        )
 
 
-def play(scenario: Scenario, tracing: Line | None = None, stop_at_first: bool = False) -> Result:
-    """Play a scenario. `tracing` is told each line of the time line."""
-    return Day(scenario, tracing).play(stop_at_first)
+def play(scenario: Scenario, tracing: TraceCallback | None = None, stop_at_first: bool = False) -> Result:
+    """Run a scenario. `tracing` receives each trace line."""
+    return Simulation(scenario, tracing).play(stop_at_first)
--- a/dykeshift/sim/installation.py
+++ b/dykeshift/sim/installation.py
@@ -1,4 +1,4 @@
-"""Who is there on a day: balancers and senders, each under its name and address through all its lives."""
+"""The simulated balancers and senders; each keeps its name and address over all its restarts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from dykeshift.sim.kernel import MS, SECOND, Host, Process, VirtualClock
 from dykeshift.sim.loop import Program, virtual_listen
 from dykeshift.sim.scenario import CLASSES, KINDS, PROGRAM_DESCRIPTORS, Scenario
-from dykeshift.sim.scene import Scene
+from dykeshift.sim.scene import SimulationContext
 from dykeshift.standins import hl7
 from dykeshift.standins.disk import Disk
 from dykeshift.standins.mllp_sender import MllpLink
@@ -32,7 +32,7 @@
 
 
 def settings(scenario: Scenario) -> dict[str, Any]:
-    """The settings as a deployment words them."""
+    """The settings, as a deployment's configuration file has them."""
     options = scenario.options
     aims = {"status-check": 250, "reminder-set": 400, "sms-send": 400}
     kinds = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
@@ -80,20 +80,20 @@
     }
 
 
-PEERS = 7946
-VIEW = msgspec.convert(
+PEER_PORT = 7946
+VIEW_OPTIONS = msgspec.convert(
     {"period_s": 0.2, "lease_s": 10.0, "datagrams_s": 60.0, "bytes_s": 12_500.0}, fleet_view.Options
 )
 DEADLINES = {"status-check": 1000, "reminder-set": 800, "sms-send": 1500}  # milliseconds
 USUAL_LONGEST = 1.5  # seconds: the longest of them
-STANDSTILL = 0.15  # seconds that a balancer may stand still during its end and still has to keep all rules
-AIM_SHARE = 0.8  # of a class's deadline: its aim is no later
+TOLERATED_STALL = 0.15  # seconds; a balancer stalled for no longer during its shutdown must keep all rules
+AIM_SHARE = 0.8  # the aim of a class is at most this share of its deadline
 MLLP_PORT, CONSOLE_PORT = 2575, 9090
-CLOCK_ERROR = 0.5  # seconds that clinics' clocks may be off, as balancers are told
+CLOCK_ERROR = 0.5  # seconds; the configured bound on the error of clinics' clocks
 
 
-def mllp(scenario: Scenario, address: str) -> Options:
-    """The feature `[mllp]` as a deployment words it."""
+def mllp_options(scenario: Scenario, address: str) -> Options:
+    """The section `[mllp]`, as a deployment's configuration file has it."""
     options = scenario.options
     routes = [
         {
@@ -118,14 +118,14 @@
 
 
 class VirtualDisk:
-    """A balancer's disk: it outlives its lives, takes its time, and may be cut in the middle of a write."""
+    """A balancer's disk: it persists over restarts, is slow, and may lose power in the middle of a write."""
 
     def __init__(self, seed: int) -> None:
         self.files = Disk(seed)
         self.rng = self.files.rng
-        self.slow = 0.0  # seconds that each write takes more
+        self.slow = 0.0  # extra seconds of each operation
         self.loop: Any = None
-        self.under_way: list[Callable[[], Any]] = []
+        self.in_flight: list[Callable[[], Any]] = []
 
     def open(self, path: str) -> Disk:
         """See `store.disk.Disk`."""
@@ -133,16 +133,16 @@
 
     def worker(self, loop: Any) -> VirtualDisk:
         """See `store.disk.Disk`."""
-        self.loop, self.under_way = loop, []
+        self.loop, self.in_flight = loop, []
         return self
 
     def run(self, work: Callable[[], Any], done: Callable[[Any, BaseException | None], None]) -> None:
-        """Do the work after a time drawn at random, longer where the disk is slow."""
-        self.under_way.append(work)
+        """Do the work after a random delay, plus `slow`."""
+        self.in_flight.append(work)
         self.loop.call_later(0.0005 + 0.004 * self.rng.random() + self.slow, self._do, work, done)
 
     def _do(self, work: Callable[[], Any], done: Callable[[Any, BaseException | None], None]) -> None:
-        self.under_way.remove(work)
+        self.in_flight.remove(work)
         try:
             result, error = work(), None
         except Exception as exc:
@@ -150,21 +150,21 @@
         self.loop.call_later(0.001 * self.rng.random(), done, result, error)
 
     def close(self) -> None:
-        """Finish what is under way, at once."""
-        for work in self.under_way:
+        """Finish pending operations at once."""
+        for work in self.in_flight:
             with contextlib.suppress(LogError, OSError):
                 work()
-        self.under_way = []
+        self.in_flight = []
 
     def power_cut(self) -> None:
-        """The machine died: what was being written is there in part, what was not synced perhaps."""
+        """Lose power: pending writes are written in part, and unsynced data may be lost."""
         self.files.room = sum(map(len, self.files.seen.values())) + self.rng.randint(0, 200)
         self.close()
         self.files.power_cut()
 
 
-class Tap:
-    """The decision module as the driver calls it, with its actions seen by the day."""
+class ActionRecorder:
+    """Wraps the decision module for the driver and passes its actions to `seen` as well."""
 
     def __init__(self, inner: Any, seen: Callable[[list[Any]], None]) -> None:
         self._inner, self._seen = inner, seen
@@ -185,72 +185,74 @@
 
 
 class Node:
-    """A balancer under its name and address, through all its lives."""
+    """A balancer with a fixed name and address, over all its restarts."""
 
-    def __init__(self, day: Scene, number: int) -> None:
-        self.day, self.number, self.name = day, number, f"n{number}"
-        self.zone = f"z{number % day.scenario.options.zones}"
-        self.host: Host = day.net.host(f"10.0.0.{number + 1}", self.zone)
+    def __init__(self, simulation: SimulationContext, number: int) -> None:
+        self.simulation, self.number, self.name = simulation, number, f"n{number}"
+        self.zone = f"z{number % simulation.scenario.options.zones}"
+        self.host: Host = simulation.net.host(f"10.0.0.{number + 1}", self.zone)
         self.address = (self.host.name, 8081)
-        self.lives = 0
+        self.incarnation = 0
         self.process: Program | None = None
         self.front: Any = None
         self.services: list[Any] = []
         self.disk = VirtualDisk(number + 1)
         self.raw: dict[str, Any] = {}
-        self.settings: dict[str, Any] = {}  # as it started with them
-        self.living: dict[str, str] = {}  # who lives where, as far as it can know
-        self.asked = 0  # when it last asked discovery
-        self.confirmed: bool = False  # discovery has spoken to it in this life
-        self.deaths: list[tuple[int, bool]] = []  # when, and whether that excuses it
-        self.stalls: list[tuple[int, int]] = []
-        self.changes: list[tuple[int, int]] = []  # from when to when its settings were other ones
+        self.settings: dict[str, Any] = {}  # those that it was started with
+        self.instance_at: dict[str, str] = {}  # by address: the instance id, by the lists that it was sent
+        self.last_discovery_request = 0  # when it last sent a request to discovery
+        self.told_by_discovery: bool = False  # it has received a list since its start
+        self.exits: list[tuple[int, bool]] = []  # when, and whether that excuses lost requests
+        self.stalls: list[tuple[int, int]] = []  # start and end of each
+        self.settings_changes: list[tuple[int, int]] = []  # periods in which it had other settings
 
     def start(self, known: Any) -> None:
         """Start a process with a new configuration; `known` is its first list of servers."""
         if self.process is not None and self.process.alive:
             return
-        day, options = self.day, self.day.scenario.options
-        self.lives += 1
-        files = self.disk.files  # with a journal that can't be opened it would not start: that is seen to
+        simulation, options = self.simulation, self.simulation.scenario.options
+        self.incarnation += 1
+        files = (
+            self.disk.files
+        )  # end disk faults first: a balancer that can't open its journal does not start
         files.room, files.read_only, files.sync_fails = None, False, False
-        given = settings(day.scenario)
+        given = settings(simulation.scenario)
         given["az"] = self.number % options.zones
         self.settings = given
         self.raw = {
             "name": self.name,
             "listen": f"{self.address[0]}:{self.address[1]}",
-            "discovery": f"{day.discovery[0]}:{day.discovery[1]}",
-            "seed": f"{day.scenario.seed}-{self.name}-{self.lives}",
+            "discovery": f"{simulation.discovery[0]}:{simulation.discovery[1]}",
+            "seed": f"{simulation.scenario.seed}-{self.name}-{self.incarnation}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": options.descriptors},
             "known": known,
             "settings": given,
         }
         if options.view:
-            self.raw["peer_listen"] = f"{self.host.name}:{PEERS}"
-            self.raw["peers"] = [f"10.0.0.{n + 1}:{PEERS}" for n in range(options.balancers)]
+            self.raw["peer_listen"] = f"{self.host.name}:{PEER_PORT}"
+            self.raw["peers"] = [f"10.0.0.{n + 1}:{PEER_PORT}" for n in range(options.balancers)]
         if options.consoles:
             self.raw["console"] = f"{self.address[0]}:{CONSOLE_PORT}"
         process = self.process = Program(
-            day.world,
+            simulation.world,
             self.host,
-            f"{self.name}.{self.lives}",
+            f"{self.name}.{self.incarnation}",
             options.descriptors - PROGRAM_DESCRIPTORS,
             options.callback_us * 1000,
         )
         process.stalls = self.stalls
-        process.on_exit = self._ended
+        process.on_exit = self._on_exit
         self.services = []
-        day.net.attach(process)
-        day.referee.reborn(self.name)
-        self.living = {row["hostPort"]: row["instanceId"] for row in known["instances"]}
-        self.confirmed = False
+        simulation.net.attach(process)
+        simulation.referee.reborn(self.name)
+        self.instance_at = {row["hostPort"]: row["instanceId"] for row in known["instances"]}
+        self.told_by_discovery = False
         process.loop.start(
             serve(
                 config.parse(self.raw, options.view),
                 self._load,
                 VirtualClock(process),
-                self._started,
+                self._on_started,
                 self._features(),
                 listen=virtual_listen,
             )
@@ -263,79 +265,79 @@
             raise config.ConfigError(f"bad configuration: {exc}") from None
 
     def _features(self) -> Features:
-        options, parts = self.day.scenario.options, list[tuple[Any, Any]]()
+        options, parts = self.simulation.scenario.options, list[tuple[Any, Any]]()
         if options.clinics:
-            parts.append((feature, mllp(self.day.scenario, self.address[0])))
+            parts.append((feature, mllp_options(self.simulation.scenario, self.address[0])))
         if options.view:
-            parts.append((fleet_view, VIEW))
+            parts.append((fleet_view, VIEW_OPTIONS))
         return Features(tuple(parts), self.disk) if parts else NONE
 
-    def _started(self, front: Any, server: Any, reload: Any, services: list[Any]) -> None:
+    def _on_started(self, front: Any, server: Any, reload: Any, services: list[Any]) -> None:
         self.front, self.services = front, services
-        front.driver.balancer = Tap(front.driver.balancer, self._acted)
+        front.driver.balancer = ActionRecorder(front.driver.balancer, self._on_actions)
 
-    def _acted(self, actions: list[Any]) -> None:
+    def _on_actions(self, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, Refuse | Fail):
-                name = self.day.letters.get(action.request_id, action.request_id)
-                self.day.referee.gave_up(self.day.world.now, name)
+                name = self.simulation.message_names.get(action.request_id, action.request_id)
+                self.simulation.referee.gave_up(self.simulation.world.now, name)
 
-    def _ended(self, process: Process) -> None:
+    def _on_exit(self, process: Process) -> None:
         assert self.process is process
-        for fault in self.process.loop.faults:
-            self.day.referee.breach(rules.FAULT, self.day.world.now, f"{process.name}: {fault}")
+        for fault in self.process.loop.uncaught_errors:
+            self.simulation.referee.breach(rules.FAULT, self.simulation.world.now, f"{process.name}: {fault}")
         if process.exit_code != -9:
             if not process.terminated:
-                self.day.referee.breach(
+                self.simulation.referee.breach(
                     rules.FAULT,
-                    self.day.world.now,
+                    self.simulation.world.now,
                     f"{process.name} ended by itself with {process.exit_code}",
                 )
-            self.deaths.append((self.day.world.now, False))
+            self.exits.append((self.simulation.world.now, False))
 
     def view(self) -> View | None:
-        """What it believes of the others, where it runs and keeps a view."""
+        """Its view of the fleet, if it runs and keeps one."""
         if self.process is None or not self.process.alive:
             return None
         found = (s.view for s in self.services if isinstance(s, fleet_view.Service))
         return next(found, None)
 
-    def stood_still(self, since: int, until: int) -> int:
-        """For how long its processes stood still in that time; all in nanoseconds."""
+    def stalled_time(self, since: int, until: int) -> int:
+        """How long its processes were stalled in that period; all in nanoseconds."""
         return sum(max(0, min(end, until) - max(begin, since)) for begin, end in self.stalls)
 
     def kill(self, excused: bool = True) -> None:
-        """Kill its process; `excused`: the requests that it cuts off are no breach."""
+        """Kill its process; `excused`: requests that are lost by this are not a breach."""
         if self.process is not None and self.process.alive:
-            self.deaths.append((self.day.world.now, excused))
+            self.exits.append((self.simulation.world.now, excused))
             self.process.kill()
-            if self.day.scenario.options.journal and self.disk.rng.random() < 0.7:
+            if self.simulation.scenario.options.journal and self.disk.rng.random() < 0.7:
                 self.disk.power_cut()
 
 
-class Post:
-    """A sender's place: one machine, and the sender processes that follow one another on it."""
+class SenderSite:
+    """A host that runs one sender process after another, at a fixed address."""
 
-    def __init__(self, day: Scene, witness: Witness, number: int) -> None:
-        options = day.scenario.options
-        self.day, self.witness, self.number = day, witness, number
+    def __init__(self, simulation: SimulationContext, witness: Witness, number: int) -> None:
+        options = simulation.scenario.options
+        self.simulation, self.witness, self.number = simulation, witness, number
         self.zone = f"z{number % options.zones}"
         self.cell: int = number % options.racks
-        self.host: Host = day.net.host(f"10.1.0.{number + 1}", self.zone)
+        self.host: Host = simulation.net.host(f"10.1.0.{number + 1}", self.zone)
         self.address = (self.host.name, 8081)
-        self.lives = 0
+        self.incarnation = 0
         self.process: Program | None = None
         self.sender: Sender | None = None
         self.mood: Mood = Mood()
 
     def start(self, cold: bool) -> None:
-        """A new process under a new id, cold unless the day begins with it."""
-        day, options = self.day, self.day.scenario.options
+        """Start a process under a new id; `cold`: not one of those that run from the beginning."""
+        simulation, options = self.simulation, self.simulation.scenario.options
         if self.process is not None and self.process.alive:
             return
-        self.lives += 1
-        name = f"s{self.number}-{self.lives}"
-        shape = Shape(
+        self.incarnation += 1
+        name = f"s{self.number}-{self.incarnation}"
+        sender_options = Shape(
             slots=options.slots,
             cold_share=options.cold_share,
             cold_time=options.cold_time,
@@ -344,36 +346,44 @@
             key_window=options.window,
         )
         link = MllpLink if options.mllp_senders else Link
-        rng = day.world.stream(f"sender/{name}")
+        rng = simulation.world.stream(f"sender/{name}")
         self.sender = Sender(
-            name, self.cell, day.racks[self.cell], self.witness, rng, shape, self.mood, cold, link
+            name,
+            self.cell,
+            simulation.racks[self.cell],
+            self.witness,
+            rng,
+            sender_options,
+            self.mood,
+            cold,
+            link,
         )
-        self.process = Program(day.world, self.host, name)
-        day.net.attach(self.process)
+        self.process = Program(simulation.world, self.host, name)
+        simulation.net.attach(self.process)
         self.process.loop.start(self.sender.serve(*self.address))
-        day.by_name[name] = self.sender
-        started = day.world.unix() // MS if cold else 0
-        day.list_later(
-            0.0 if not cold else 0.1 + 0.5 * day.rng.random(),
+        simulation.by_name[name] = self.sender
+        started = simulation.world.unix() // MS if cold else 0
+        simulation.register_later(
+            0.0 if not cold else 0.1 + 0.5 * simulation.rng.random(),
             Instance(name, self.address, self.zone, self.cell, started_ms=started),
         )
 
     def name(self) -> str:
-        """The sender's name, empty where there is none."""
+        """The sender's name, empty if there is none."""
         return self.sender.name if self.sender is not None else ""
 
     def stop(self, vanish: bool = False, notice: float = 0.5) -> None:
-        """It dies; discovery notices later."""
+        """Kill the sender, or take its host down; discovery notices after `notice` seconds."""
         if self.process is None or not self.process.alive:
             return
         if vanish:
-            self.day.net.vanish(self.host)
+            self.simulation.net.vanish(self.host)
         else:
             self.process.kill()
-        self.day.leave_later(notice, self.name(), "left")
+        self.simulation.set_lifecycle_later(notice, self.name(), "left")
 
     def drain(self) -> None:
         """Drain the sender and tell discovery."""
         if self.sender is not None:
             self.sender.drain()
-            self.day.leave_later(0.0, self.name(), "leaving")
+            self.simulation.set_lifecycle_later(0.0, self.name(), "leaving")
--- a/dykeshift/sim/loop.py
+++ b/dykeshift/sim/loop.py
@@ -1,16 +1,17 @@
 """An asyncio event loop on virtual time: one for each process of the world.
 
-Theory of operation. Like a real loop it goes round: the timers that are due and the connections that
-have something to report first, in an order drawn from the seed, then what was put off with `call_soon`
-before this round, in its order. A round happens when the world says so: at the next timer, when the kernel
-reports something, or at once if something was put off. While its process is stalled no round happens, and
-what became due meanwhile comes in one round.
-
-Within a round `time()` stands still, as on a real loop; `Process` time (`VirtualClock`) goes on by
-`callback_cost` with each callback, and the next round starts no sooner than this one ended.
-
-What asyncio's own pieces need (tasks, futures, timeouts, events, sleep) is here, and the transports of
-TCP and UDP. What no program of ours uses raises NotImplementedError, as the base class does.
+Theory of operation. Each iteration, as in a real loop, first runs the timers that are due and the
+connections that are ready, in an order drawn from the seed, then the callbacks queued with `call_soon`
+before this iteration, in order. An iteration is an event of the world: at the next timer, when the kernel
+has something to report, or at once if callbacks are queued. While the process is stalled there is no
+iteration; everything that became due meanwhile runs in one iteration afterwards.
+
+Within an iteration `time()` is constant, as on a real loop; the process's clock (`VirtualClock`) advances by
+`callback_cost` with each callback, and the next iteration starts no earlier than this one ended.
+
+The loop implements what asyncio's own primitives need (tasks, futures, timeouts, events, sleep) and the TCP
+and UDP transports. Methods that the simulated programs do not use raise NotImplementedError, as the base
+class does.
 """
 
 from __future__ import annotations
@@ -29,24 +30,24 @@
 from dykeshift.sim import net, transport
 from dykeshift.sim.kernel import MS, SECOND, Process
 
-EXIT_FAULT = 70  # a program whose main coroutine raised
+EXIT_FAULT = 70  # exit code of a program whose main coroutine raised
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
-    """The loop of one process; what asyncio has beyond these methods is not offered."""
+    """The event loop of one process; only these methods of asyncio's loop are implemented."""
 
     def __init__(self, process: Process) -> None:
         self.process = process
         self.world = process.world
-        self.flavour = process.world.flavour
-        self.net: net.Network | None = None  # given by the network that the host is on
-        self.spent = 0  # nanoseconds that this round's callbacks have taken so far
-        self.faults: list[str] = []  # exceptions that nothing caught
+        self.platform = process.world.platform
+        self.net: net.Network | None = None  # set by `Network.attach`
+        self.round_elapsed = 0  # nanoseconds that the callbacks of this iteration have taken so far
+        self.uncaught_errors: list[str] = []
         self._draw = process.world.stream(f"loop/{process.name}").random
         self._ready: deque[asyncio.Handle] = deque()
         self._timers: list[tuple[int, float, int, asyncio.TimerHandle]] = []
-        self._io: dict[Any, None] = {}  # sockets that have something to report
-        self._late: dict[Any, None] = {}  # transports that write at the end of the round
+        self._io: dict[Any, None] = {}  # sockets and transports that are ready; a dict keeps their order
+        self._unflushed: dict[Any, None] = {}  # transports to flush at the end of the iteration
         self._signals: dict[int, tuple[Callable[..., object], tuple[Any, ...]]] = {}
         self._time = self._floor(process.world.now)
         self._wake: tuple[int, Any] | None = None
@@ -54,82 +55,82 @@
         self._running = False
         self._busy_until = 0
         self._main: asyncio.Task[Any] | None = None
-        self.tasks: dict[asyncio.Task[Any], None] = {}  # that are not done
+        self.tasks: dict[asyncio.Task[Any], None] = {}  # tasks that are not done
 
     # ---- time ----
 
     def _floor(self, now: int) -> int:
-        return now // MS * MS if self.flavour.uvloop else now
+        return now // MS * MS if self.platform.uvloop else now
 
     def time(self) -> float:
-        """Seconds on the loop's clock, as of the beginning of the round."""
+        """Seconds on the loop's clock, as of the start of the iteration."""
         return self._time / SECOND
 
     def pending_timers(self) -> int:
         """How many timers are set."""
         return sum(not handle.cancelled() for *_, handle in self._timers)
 
-    # ---- rounds ----
+    # ---- iterations ----
 
     def wake(self, when: int | None = None) -> None:
-        """Have a round at that instant, or as soon as possible."""
+        """Schedule an iteration at `when`, or as soon as possible."""
         if self._running or not self.process.alive:
-            return  # the end of the round sees to it
+            return  # the end of the running iteration schedules the next one
         when = max(self.world.now if when is None else when, self._busy_until, self.process.stalled_until)
         if self._wake is not None:
             if self._wake[0] <= when:
                 return
             self._wake[1].cancel()
-        self._wake = (when, self.world.at(when, self._round))
+        self._wake = (when, self.world.at(when, self._iterate))
 
-    def _round(self) -> None:
+    def _iterate(self) -> None:
         self._wake = None
         if not self.process.alive:
             return
         if self.world.now < self.process.stalled_until:
             self.wake(self.process.stalled_until)
             return
-        self._time, self.spent, self._running = self._floor(self.world.now), 0, True
+        self._time, self.round_elapsed, self._running = self._floor(self.world.now), 0, True
         events._set_running_loop(self)
         try:
-            self._go_round()
+            self._run_once()
         finally:
             events._set_running_loop(None)
             self._running = False
-        self._busy_until, self.spent = self.world.now + self.spent, 0
+        self._busy_until, self.round_elapsed = self.world.now + self.round_elapsed, 0
         if not self.process.alive:
             return
         if self._main is not None and self._main.done():
-            self._end(self._main)
+            self._main_done(self._main)
         elif self._ready or self._io:
             self.wake(self._busy_until)
         else:
-            self._sleep()
+            self._schedule_next_wake()
 
-    def _go_round(self) -> None:
+    def _run_once(self) -> None:
         due: list[Any] = []
         timers = self._timers
         while timers and timers[0][0] <= self._time:
             due.append(heapq.heappop(timers)[3])
         sockets, self._io = list(self._io), {}
-        put_off = len(self._ready)
+        ready_count = len(self._ready)
         if len(due) + len(sockets) > 1:
-            due = self._mix(due, sockets)
+            due = self._interleave(due, sockets)
         else:
             due += sockets
         for one in due:
-            self._step(one)
-        for _ in range(put_off if self.flavour.uvloop else len(self._ready)):
+            self._run_callback(one)
+        for _ in range(ready_count if self.platform.uvloop else len(self._ready)):
             if not self._ready:
                 break
-            self._step(self._ready.popleft())
-        while self._late and self.process.alive:
-            late, self._late = list(self._late), {}
-            for one in late:
+            self._run_callback(self._ready.popleft())
+        while self._unflushed and self.process.alive:
+            unflushed, self._unflushed = list(self._unflushed), {}
+            for one in unflushed:
                 one.flush()
 
-    def _mix(self, timers: list[Any], sockets: list[Any]) -> list[Any]:
-        """Timers of different instants keep their order; nothing else does."""
+    def _interleave(self, timers: list[Any], sockets: list[Any]) -> list[Any]:
+        """Draw the order of ready callbacks; only the order of the timers among themselves is kept."""
         sockets.sort(key=lambda _: self._draw())
         way = self._draw()
         if way < 0.4:
@@ -141,7 +142,7 @@
             mixed.append((timers if self._draw() < 0.5 else sockets).pop(0))
         return mixed + timers + sockets
 
-    def _step(self, one: Any) -> None:
+    def _run_callback(self, one: Any) -> None:
         if not self.process.alive:
             return
         if isinstance(one, asyncio.Handle):
@@ -153,60 +154,60 @@
                 one.report()
             except Exception as exc:
                 self.call_exception_handler({"message": "in a transport's callback", "exception": exc})
-        self.spent += self.process.callback_cost
+        self.round_elapsed += self.process.callback_cost
 
-    def _sleep(self) -> None:
+    def _schedule_next_wake(self) -> None:
         while self._timers and self._timers[0][3].cancelled():
             heapq.heappop(self._timers)
         if self._timers:
             self.wake(max(self._timers[0][0], self.world.now))
 
-    def readable(self, socket: Any) -> None:
-        """The kernel has something for this process; asked for by sockets."""
+    def mark_ready(self, socket: Any) -> None:
+        """See `kernel.ProcessLoop`."""
         if self.process.alive:
             self._io[socket] = None
             self.wake()
 
-    def at_end_of_round(self, one: Any) -> None:
-        """See `kernel.Rounds`."""
-        self._late[one] = None
+    def at_end_of_iteration(self, one: Any) -> None:
+        """See `kernel.ProcessLoop`."""
+        self._unflushed[one] = None
         self.wake()
 
     # ---- the program ----
 
     def start(self, main: Coroutine[Any, Any, Any]) -> None:
-        """Run a program: the process ends when it does."""
+        """Run a program; the process exits when its main coroutine ends."""
         self._main = self.create_task(main)
 
-    def _end(self, main: asyncio.Task[Any]) -> None:
+    def _main_done(self, main: asyncio.Task[Any]) -> None:
         error = None if main.cancelled() else main.exception()
         if error is not None:
-            self.faults.append(f"the program ended: {type(error).__name__}: {error}")
+            self.uncaught_errors.append(f"the program ended: {type(error).__name__}: {error}")
         self.process.exit(EXIT_FAULT if error is not None else 0)
 
     def discard(self) -> None:
-        """The process is dead: nothing that is kept here runs any more."""
+        """See `kernel.ProcessLoop`."""
         self._ready.clear()
         self._timers.clear()
         self._io.clear()
-        self._late.clear()
+        self._unflushed.clear()
         tasks, self.tasks = self.tasks, {}
-        for task in tasks:  # ended here and now, not whenever the collector comes by
+        for task in tasks:  # close the coroutines now: when the garbage collector would is not deterministic
             with contextlib.suppress(RuntimeError, ValueError):
                 task.get_coro().close()
         if self._wake is not None:
             self._wake[1].cancel()
             self._wake = None
 
-    def signalled(self, number: int) -> None:
-        """See `kernel.Rounds`."""
-        known = self._signals.get(number)
-        if known is None:
+    def deliver_signal(self, number: int) -> None:
+        """See `kernel.ProcessLoop`."""
+        handler = self._signals.get(number)
+        if handler is None:
             self.process.pending_signals.append(number)  # blocked until there is a handler
             return
-        self._append(asyncio.Handle(known[0], known[1], self, None))
+        self._append(asyncio.Handle(handler[0], handler[1], self, None))
 
-    # ---- what asyncio asks of a loop ----
+    # ---- asyncio's loop interface ----
 
     def _append(self, handle: asyncio.Handle) -> None:
         if self.process.alive:
@@ -231,8 +232,8 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """See `asyncio.AbstractEventLoop`; uvloop's flavour rounds to milliseconds."""
-        if self.flavour.uvloop:
+        """See `asyncio.AbstractEventLoop`; rounds to milliseconds where the platform is uvloop."""
+        if self.platform.uvloop:
             due = self._time + round(max(0.0, delay) * 1000) * MS
         else:
             due = self._time + math.ceil(max(0.0, delay) * SECOND)
@@ -254,7 +255,7 @@
         return self.call_later(when - self.time(), callback, *args, context=context)
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        pass  # it stays in the heap until it is due, and does nothing then
+        pass  # the handle stays in the heap until it is due, and does nothing then
 
     def create_future(self) -> asyncio.Future[Any]:
         """See `asyncio.AbstractEventLoop`."""
@@ -263,10 +264,10 @@
     def create_task(
         self, coro: Any, *, name: str | None = None, context: contextvars.Context | None = None
     ) -> asyncio.Task[Any]:
-        """See `asyncio.AbstractEventLoop`; a dead process runs none."""
+        """See `asyncio.AbstractEventLoop`; in a dead process the task never runs."""
         if not self.process.alive:
             coro.close()
-            return _Buried(self)  # type: ignore[return-value]
+            return _DeadTask(self)  # type: ignore[return-value]
         task = asyncio.Task(coro, loop=self, name=name or "task", context=context)
         self.tasks[task] = None
         task.add_done_callback(self._task_done)
@@ -276,18 +277,18 @@
         self.tasks.pop(task, None)
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Keep what nobody caught, for the day to report."""
+        """Record an uncaught exception, for the simulation to report."""
         if not self.process.alive:
             return
         exc = context.get("exception")
-        self.faults.append(f"{context.get('message')}: {type(exc).__name__}: {exc}")
+        self.uncaught_errors.append(f"{context.get('message')}: {type(exc).__name__}: {exc}")
 
     def default_exception_handler(self, context: dict[str, Any]) -> None:
         """See `asyncio.AbstractEventLoop`."""
         self.call_exception_handler(context)
 
     def get_debug(self) -> bool:
-        """Never in debug mode."""
+        """See `asyncio.AbstractEventLoop`; never in debug mode."""
         return False
 
     def is_running(self) -> bool:
@@ -304,11 +305,11 @@
         callback: Callable[..., object],
         *args: Any,
     ) -> None:
-        """See `asyncio.AbstractEventLoop`; signals from before are delivered now."""
+        """See `asyncio.AbstractEventLoop`; signals that arrived before are delivered now."""
         self._signals[sig] = (callback, args)
-        waiting, self.process.pending_signals = self.process.pending_signals, []
-        for number in waiting:
-            self.signalled(number)
+        pending, self.process.pending_signals = self.process.pending_signals, []
+        for number in pending:
+            self.deliver_signal(number)
 
     def remove_signal_handler(self, sig: int) -> bool:
         """See `asyncio.AbstractEventLoop`."""
@@ -323,18 +324,18 @@
     async def create_connection(
         self, protocol_factory: Any, host: Any = None, port: Any = None, **kwargs: Any
     ) -> tuple[transport.TcpTransport, Any]:
-        """As asyncio does it: the connect first, then the protocol, each a step that may be cancelled."""
+        """See `asyncio.AbstractEventLoop`; the connect and the protocol's start can each be cancelled."""
         endpoint = await self._network().connect(self.process, (str(host), int(port)))
         protocol = protocol_factory()
-        made = transport.TcpTransport(self, endpoint, protocol)
+        created = transport.TcpTransport(self, endpoint, protocol)
         waiter = self.create_future()
-        self.call_soon(made.begin, waiter)
+        self.call_soon(created.begin, waiter)
         try:
             await waiter
         except BaseException:
-            made.close()
+            created.close()
             raise
-        return made, protocol
+        return created, protocol
 
     async def create_server(  # type: ignore[override]
         self,
@@ -355,9 +356,9 @@
         """See `asyncio.AbstractEventLoop`."""
         port = self._network().bind_datagrams(self.process, local_addr)
         protocol = protocol_factory()
-        made = transport.UdpTransport(self, port, protocol, remote_addr)
-        self.call_soon(protocol.connection_made, made)
-        return made, protocol
+        created = transport.UdpTransport(self, port, protocol, remote_addr)
+        self.call_soon(protocol.connection_made, created)
+        return created, protocol
 
 
 async def virtual_listen(
@@ -367,14 +368,14 @@
     backlog: int,
     inherited: Any = None,
 ) -> transport.VirtualServer:
-    """See `engine.listener.Listen`; nobody inherits a listener here."""
+    """See `engine.listener.Listen`; inherited listeners are not simulated."""
     assert isinstance(loop, VirtualLoop) and inherited is None
     return await loop.create_server(factory, *address, backlog=backlog)
 
 
 @dataclass(slots=True, eq=False)
 class Program(Process):
-    """A process with the event loop that runs it."""
+    """A process with its event loop."""
 
     loop: VirtualLoop = field(init=False)
 
@@ -383,8 +384,8 @@
         Process.__post_init__(self)
 
 
-class _Buried:
-    """What a dead process gets for a task: nothing comes of it."""
+class _DeadTask:
+    """Returned by `create_task` in a dead process: accepts every call and does nothing."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
--- a/dykeshift/sim/operators.py
+++ b/dykeshift/sim/operators.py
@@ -1,4 +1,4 @@
-"""Operators on a day: they call the balancers' consoles, and what they hear goes to the referee."""
+"""Simulated operators: they call the balancers' consoles and report the answers to the referee."""
 
 from __future__ import annotations
 
@@ -10,111 +10,131 @@
 from dykeshift.sim.installation import CONSOLE_PORT, Node
 from dykeshift.sim.kernel import EPOCH, SECOND
 from dykeshift.sim.loop import Program
-from dykeshift.sim.scenario import HEAL, RECOVERY
-from dykeshift.sim.scene import Scene
+from dykeshift.sim.scenario import FAULTS_END, RECOVERY
+from dykeshift.sim.scene import SimulationContext
 from dykeshift.standins.operator import Operator
 
-LET_GO = 3.0  # seconds after a standby's yes in which all idle connections are closed
-READ_EVERY = 1.3  # seconds between two readings of the figures
+IDLE_CLOSE_GRACE = 3.0  # seconds after a confirmed standby within which all idle connections are closed
+READ_EVERY = 1.3  # seconds between two reads of the metrics
 
 
-class Duty:
-    """One balancer's operator. Calls are repeated while the life that they were meant for goes on."""
+class OperatorClient:
+    """The operator of one balancer. Calls are repeated as long as the same process of the balancer runs."""
 
-    def __init__(self, day: Scene, host: Program, node: Node) -> None:
-        self.day, self.host, self.node = day, host, node
+    def __init__(self, simulation: SimulationContext, host: Program, node: Node) -> None:
+        self.simulation, self.host, self.node = simulation, host, node
         self.operator = Operator((node.address[0], CONSOLE_PORT))
-        self.out: dict[str, int] = {}  # ids that are to be out, and the life in which that was called for
-        self.drains = 0  # standby calls less those taken back, as a number of the latest call
+        self.banned_in: dict[str, int] = {}  # by banned instance: the balancer's incarnation at the call
+        self.drain_calls = 0  # number of the latest standby or active call; older ones are obsolete
 
     def _call(
-        self, method: str, path: str, name: str, done: Callable[[int, str], None], wanted: Callable[[], bool]
+        self,
+        method: str,
+        path: str,
+        name: str,
+        done: Callable[[int, str], None],
+        still_wanted: Callable[[], bool],
     ) -> None:
-        life = self.node.lives
+        at_call = self.node.incarnation
 
-        def heard(status: int, text: str) -> None:
-            self.day.world.note(f"{self.node.name} answers {path} {name} with {status}")
-            if self.node.lives == life:
+        def on_answer(status: int, text: str) -> None:
+            self.simulation.world.trace(f"{self.node.name} answers {path} {name} with {status}")
+            if self.node.incarnation == at_call:
                 done(status, text)
 
-        def unanswered() -> None:
-            began = self.day.world.now - SECOND
-            if not self.day.excuse(self.node.name, began, began, self.day.world.now):
-                self.day.referee.breach(
-                    rules.CONSOLE, self.day.world.now, f"{self.node.name} does not answer {path} in time"
+        def on_no_answer() -> None:
+            began = self.simulation.world.now - SECOND
+            if not self.simulation.excuse(self.node.name, began, began, self.simulation.world.now):
+                self.simulation.referee.breach(
+                    rules.CONSOLE,
+                    self.simulation.world.now,
+                    f"{self.node.name} does not answer {path} in time",
                 )
 
-        self.day.inside(
+        self.simulation.call_in_process(
             self.host,
             self.operator.call,
             method,
             path,
             name,
-            heard,
-            lambda: self.node.lives == life and wanted(),
-            unanswered,
+            on_answer,
+            lambda: self.node.incarnation == at_call and still_wanted(),
+            on_no_answer,
         )
 
     def enter(self, name: str) -> None:
-        """Ban an upstream at the balancer; the call is repeated until it has an answer."""
-        life = self.out[name] = self.node.lives
+        """Ban an upstream; the call is repeated until it is answered."""
+        at_call = self.banned_in[name] = self.node.incarnation
 
         def done(status: int, text: str) -> None:
-            if status == 200 and self.out.get(name) == life:
-                self.day.referee.taken_out(self.day.world.now, self.node.name, name)
+            if status == 200 and self.banned_in.get(name) == at_call:
+                self.simulation.referee.ban_confirmed(self.simulation.world.now, self.node.name, name)
 
-        self._call("PUT", "/maintenance/enter", name, done, lambda: self.out.get(name) == life)
+        self._call("PUT", "/maintenance/enter", name, done, lambda: self.banned_in.get(name) == at_call)
 
     def exit(self, name: str) -> None:
         """Lift the ban."""
-        if self.out.pop(name, None) is not None:
-            self.day.referee.put_back(self.node.name, name)
-            self._call("PUT", "/maintenance/exit", name, lambda _, __: None, lambda: name not in self.out)
+        if self.banned_in.pop(name, None) is not None:
+            self.simulation.referee.ban_lifted(self.node.name, name)
+            self._call(
+                "PUT", "/maintenance/exit", name, lambda _, __: None, lambda: name not in self.banned_in
+            )
 
     def standby(self) -> None:
-        """Drain the balancer, and make it active again some time later."""
-        self.drains += 1
-        mine = self.drains
+        """Drain the balancer."""
+        self.drain_calls += 1
+        call_number = self.drain_calls
 
         def done(status: int, text: str) -> None:
-            self.day.world.after(int(LET_GO * SECOND), self._let_go, mine, self.node.lives)
+            self.simulation.world.after(
+                int(IDLE_CLOSE_GRACE * SECOND), self._check_idle_closed, call_number, self.node.incarnation
+            )
 
-        self._call("PUT", "/standby", "", done, lambda: self.drains == mine)
+        self._call("PUT", "/standby", "", done, lambda: self.drain_calls == call_number)
 
     def active(self) -> None:
         """Make the balancer active again."""
-        self.drains += 1
-        mine = self.drains
-        self._call("PUT", "/active", "", lambda _, __: None, lambda: self.drains == mine)
+        self.drain_calls += 1
+        call_number = self.drain_calls
+        self._call("PUT", "/active", "", lambda _, __: None, lambda: self.drain_calls == call_number)
 
-    def _let_go(self, number: int, life: int) -> None:
-        """Nobody called it back: no client's connection is held idle."""
+    def _check_idle_closed(self, number: int, at_call: int) -> None:
+        """Check, if the standby was not revoked, that no idle client connection is open."""
         node = self.node
-        if self.drains != number or node.lives != life or node.process is None or not node.process.alive:
+        if (
+            self.drain_calls != number
+            or node.incarnation != at_call
+            or node.process is None
+            or not node.process.alive
+        ):
             return
-        now = self.day.world.now
-        recent = node.front.loop.time() - 0.5  # somebody asks whether it is ready, again and again
+        now = self.simulation.world.now
+        recent = node.front.loop.time() - 0.5  # readiness probes open new connections all the time
         idle = [client for client in node.front.clients if client.between() and client.since < recent]
-        if idle and not self.day.excuse(node.name, now - SECOND, now - SECOND, now):
-            self.day.referee.breach(rules.DRAINED, now, f"{node.name} holds {len(idle)} idle connections")
+        if idle and not self.simulation.excuse(node.name, now - SECOND, now - SECOND, now):
+            self.simulation.referee.breach(
+                rules.DRAINED, now, f"{node.name} holds {len(idle)} idle connections"
+            )
 
     def read(self) -> None:
-        """The figures, again and again."""
-        if self.day.world.now < EPOCH + int((HEAL + RECOVERY) * SECOND):
-            self.day.world.after(int(READ_EVERY * SECOND), self.read)
+        """Read the metrics, again every `READ_EVERY` seconds."""
+        if self.simulation.world.now < EPOCH + int((FAULTS_END + RECOVERY) * SECOND):
+            self.simulation.world.after(int(READ_EVERY * SECOND), self.read)
         if self.node.process is None or not self.node.process.alive:
             return
-        before = dict(self.day.referee.counts[self.node.name])
-        asked = self.day.world.now
+        before = dict(self.simulation.referee.counts[self.node.name])
+        asked = self.simulation.world.now
 
         def done(status: int, text: str) -> None:
-            if status == 200 and self.day.world.now - asked < SECOND:
-                self.day.referee.figures(self.day.world.now, self.node.name, _told(json.loads(text)), before)
+            if status == 200 and self.simulation.world.now - asked < SECOND:
+                self.simulation.referee.figures(
+                    self.simulation.world.now, self.node.name, _counts(json.loads(text)), before
+                )
 
-        self._call("GET", "/status/metrics", "", done, lambda: self.day.world.now - asked < SECOND)
+        self._call("GET", "/status/metrics", "", done, lambda: self.simulation.world.now - asked < SECOND)
 
 
-def _told(figures: dict[str, Any]) -> dict[str, int]:
+def _counts(figures: dict[str, Any]) -> dict[str, int]:
     rows = figures["calls"].values()
     return {
         **{what: sum(row[what] for row in rows) for what in ("success", "busy", "failure")},
--- a/dykeshift/sim/reach.py
+++ b/dykeshift/sim/reach.py
@@ -1,8 +1,10 @@
-"""Since when each balancer could have asked discovery: what there is to tell counts as told so long after.
+"""Since when each balancer has been able to reach discovery without interruption.
 
-Theory of operation. Every now and then each balancer's way to the discovery that its file names is looked at.
-An instant at which it does not run, stands still, or would not be answered soon and truly starts the time
-anew.
+The checker requires a balancer to know discovery's list some time after that (`Terms.discovery_delay`).
+
+Theory of operation. Each balancer's path to the discovery server in its configuration is checked at short
+intervals. The period starts anew whenever the balancer is not running or stalled, or would not get a prompt
+and current answer.
 """
 
 from __future__ import annotations
@@ -15,12 +17,12 @@
 from dykeshift.sim.net import Network
 from dykeshift.standins.registry import Registry
 
-LOOK = 100 * MS + 37  # nanoseconds between two looks; the odd part keeps them apart from other events
-SOON = 0.2  # seconds that an answer may take
+CHECK_EVERY = 100 * MS + 37  # nanoseconds; the odd 37 keeps checks from coinciding with other events
+MAX_DELAY = 0.2  # seconds; a discovery server that delays answers by more counts as unreachable
 
 
-class Installed(Protocol):
-    """What it knows of the day."""
+class ReachabilityContext(Protocol):
+    """The parts of the simulation that are needed here."""
 
     world: World
     net: Network
@@ -29,39 +31,44 @@
     registry_processes: dict[tuple[str, int], Program]
 
 
-class Reach:
-    """For each balancer the instant since when it could have asked discovery."""
+class DiscoveryReachability:
+    """For each balancer, since when it could have reached discovery (`since`, in nanoseconds)."""
 
-    def __init__(self, day: Installed) -> None:
-        self.day = day
+    def __init__(self, simulation: ReachabilityContext) -> None:
+        self.simulation = simulation
         self.since: dict[str, int] = {}
-        self.asked: dict[str, str] = {}  # the discovery that it was told of, and its life
-        self.look()
+        self.target: dict[str, str] = {}  # by balancer: its incarnation and its configured discovery server
+        self.check()
 
-    def look(self) -> None:
-        """Look at all balancers' ways to discovery; runs again every `LOOK` nanoseconds."""
-        world = self.day.world
-        for node in self.day.nodes:
-            asked = f"{node.lives} {node.raw.get('discovery')}"
-            if not self._clear(node) or self.asked.get(node.name) != asked:
-                self.since[node.name] = world.now + LOOK
-            self.asked[node.name] = asked
-        world.after(LOOK, self.look)
+    def check(self) -> None:
+        """Check every balancer's path to discovery; runs again every `CHECK_EVERY` nanoseconds."""
+        world = self.simulation.world
+        for node in self.simulation.nodes:
+            target = f"{node.incarnation} {node.raw.get('discovery')}"
+            if not self._reachable(node) or self.target.get(node.name) != target:
+                self.since[node.name] = world.now + CHECK_EVERY
+            self.target[node.name] = target
+        world.after(CHECK_EVERY, self.check)
 
-    def _clear(self, node: Node) -> bool:
-        day, process = self.day, node.process
+    def _reachable(self, node: Node) -> bool:
+        simulation, process = self.simulation, node.process
         host, _, port = str(node.raw.get("discovery", ":0")).rpartition(":")
-        registry = day.registries.get((host, int(port)))
-        there = day.registry_processes.get((host, int(port)))
-        if process is None or not process.alive or process.stalled_until > day.world.now:
+        registry = simulation.registries.get((host, int(port)))
+        there = simulation.registry_processes.get((host, int(port)))
+        if process is None or not process.alive or process.stalled_until > simulation.world.now:
             return False
-        if registry is None or there is None or not there.alive or there.stalled_until > day.world.now:
+        if registry is None or there is None or not there.alive or there.stalled_until > simulation.world.now:
             return False
-        if registry.silent or registry.fail_share or registry.delay > SOON or registry.frozen_at is not None:
+        if (
+            registry.silent
+            or registry.fail_share
+            or registry.delay > MAX_DELAY
+            or registry.frozen_at is not None
+        ):
             return False
         return (
             node.host.up
             and there.host.up
-            and not day.net.weather.spike
-            and day.net.linked(node.host, there.host)
+            and not simulation.net.conditions.spike
+            and simulation.net.reachable(node.host, there.host)
         )
--- a/dykeshift/sim/referee.py
+++ b/dykeshift/sim/referee.py
@@ -1,15 +1,17 @@
-"""The rules, checked from outside: by what clients, senders, discovery and the wire saw.
+"""The checker: checks the rules from outside, by what clients, senders, discovery and the network observed.
 
-Theory of operation. The referee is told facts with their time in nanoseconds and keeps, for each request
-id, the attempts that were written whole to a sender, and which of them were proved not to have run by an
-answer that had arrived back. Each method checks what its fact can break, at once; `step` checks what the
-mere passing of time breaks. A broken rule is a `Breach`: the rule's name, when, and one line.
+Theory of operation. The referee receives observations with their time in nanoseconds. For each request id it
+keeps the attempts that were written completely to a sender, and which of them were proved not to have run by
+an answer that had arrived back. Each method checks at once the rules that its observation can break; `step`
+checks the rules that are broken by the passing of time alone. A broken rule is a `Breach`: the rule's name,
+the time, and a line of text.
 
-The one thing that it takes from inside is when the module gave a request up (an action of interface.py,
-seen where the module is called): the rule that such a request is answered at once cannot be seen otherwise.
+One observation comes from inside the balancer: when the decision module gave a request up (an action of
+interface.py, recorded where the module is called). The rule that such a request is answered at once cannot be
+checked from outside.
 
-What is nobody's fault is told as such (`excuse`): a balancer that was killed, a machine that stood still
-over the deadline, a link between client and balancer that was down.
+`excuse` says what is not the balancer's fault: it was killed, its machine was stalled over the deadline, or
+the link between client and balancer was down.
 """
 
 from __future__ import annotations
@@ -22,27 +24,27 @@
 
 LOST = "lost"  # no final answer in time, or a connection ended without one
 TWICE_ANSWERED = "answered-twice"
-WRONG_ANSWER = "wrong-answer"  # not what a sender made for this request
-UNSAFE_AGAIN = "unsafe-again"  # sent again once it may have run
-KEYED_ASTRAY = "keyed-astray"  # sent again outside its rack or window
-REFUSED_RUN = "refused-run"  # refused though it may have run
+WRONG_ANSWER = "wrong-answer"  # not the answer that a sender gave to this request
+UNSAFE_AGAIN = "unsafe-again"  # an unsafe request sent again although it may have run
+KEYED_ASTRAY = "keyed-astray"  # a keyed request sent again outside its rack or its window
+REFUSED_RUN = "refused-run"  # refused although it may have run
 EFFECT_TWICE = "effect-twice"
-DRAIN = "drain"  # something new to a sender that the balancer knew to drain, to be gone or restarted
-COLD = "cold"  # a cold sender pushed over
-ATTEMPTS = "attempts"
+DRAIN = "drain"  # a new request to a sender that the balancer knew to be draining, gone or restarted
+COLD = "cold"  # a cold sender was overloaded
+ATTEMPTS = "attempts"  # more than the limit
 SENT_AFTER = "sent-after-answer"
 HELD_BACK = "held-back"  # a request that was given up and not answered at once
-BAN = "ban"  # something new to a sender that operators took out, after the yes and the grace
-DRAINED = "drained"  # a connection held idle long after a standby, or yes to new clients
-FIGURES = "figures"  # that can't be true by what was seen
-CONSOLE = "console"  # a call that is not answered in time, or wrongly
-REJECTED = "rejected"  # a sound request of a class that the settings in force have
-DEADLINE = "deadline-told"  # more than its client has left
-GONE = "client-gone"  # something begins for a client that has left
-LEAK = "leak"
-DEAF = "not-served-again"
-VIEW = "view"  # of the fleet: a bound that does not hold, or a view that does not settle again
-FAULT = "fault"  # an exception that nothing caught, or an end that nobody asked for
+BAN = "ban"  # a new request to a banned sender, after the ban was confirmed and the grace period over
+DRAINED = "drained"  # an idle connection kept long after a standby, or new clients accepted
+FIGURES = "figures"  # metrics that contradict what was observed
+CONSOLE = "console"  # a console call answered late or wrongly
+REJECTED = "rejected"  # a valid request of a class that the settings in force have
+DEADLINE = "deadline-told"  # the deadline sent upstream is longer than the client's remaining time
+GONE = "client-gone"  # an attempt starts for a client that has disconnected
+LEAK = "leak"  # resources in use on an idle balancer
+NOT_SERVED_AGAIN = "not-served-again"
+VIEW = "view"  # a bound of a balancer's view of the fleet is wrong, or a view does not settle again
+FAULT = "fault"  # an uncaught exception, or a process that exited without being told to
 RULES = (
     LOST,
     TWICE_ANSWERED,
@@ -64,7 +66,7 @@
     DEADLINE,
     GONE,
     LEAK,
-    DEAF,
+    NOT_SERVED_AGAIN,
     VIEW,
     FAULT,
 )
@@ -72,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A broken rule: its name, when (nanoseconds), and one line."""
+    """A broken rule: its name, the time in nanoseconds, and a line of text."""
 
     rule: str
     at: int
@@ -81,52 +83,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """The figures of the rules. Times in nanoseconds; each limit with the 50 ms that sockets get."""
+    """The limits of the rules. Times in nanoseconds; each includes the 50 ms allowed for sockets."""
 
     answer_slack: int = 58 * MS
     drain_grace: int = 300 * MS
     attempts: int = 3
     window: int = 4_000 * MS
-    fall_window: int = 3_000 * MS
-    told_share: float = 2 / 3
-    way: int = 12 * MS  # from a client to a balancer, at the most
-    at_once: int = 40 * MS  # the way to the client and back, and a round of the loop
-    gone: int = 100 * MS  # after which nothing begins for a client that has left
-    told: int = 6_000 * MS  # after which what discovery has, and could be asked for, counts as told
-    deadline_slack: int = 150 * MS  # by which the deadline told may be over what the client has left
+    overload_window: int = 3_000 * MS
+    informed_share: float = 2 / 3
+    client_delay: int = 12 * MS  # longest one-way delay from a client to a balancer
+    refusal_delay: int = 40 * MS  # a round trip to the client and an iteration of the loop
+    client_gone_grace: int = 100 * MS  # no attempt starts later than this after its client has disconnected
+    discovery_delay: int = 6_000 * MS  # a balancer that can reach discovery must know its list after this
+    deadline_slack: int = 150 * MS  # by which a deadline sent upstream may exceed the client's remaining time
 
 
 @dataclass(slots=True)
-class Try:
-    """One attempt, whole on the wire."""
+class AttemptRecord:
+    """One attempt that was written completely."""
 
     at: int
     balancer: str
     sender: str
     cell: int
     connection: int
-    blind: bool = False  # it met another process than this balancer had been told lives at the address
+    address_reused: bool = False  # by what this balancer had been told, another process had this address
     disproved: bool = False
 
 
 @dataclass(slots=True)
 class Frame:
-    """One sending of a clinic's message. On one connection answers come in the order of the frames."""
+    """One transmission of a clinic's message. Answers on a connection come in the order of its frames."""
 
     balancer: str
     sent: int
     deadline: int
     ahead: list[Frame]
-    over: bool = False
+    finished: bool = False
 
-    def behind(self) -> bool:
-        """Whether answers before its own are still owed."""
-        return any(not frame.over for frame in self.ahead)
+    def has_unanswered_predecessors(self) -> bool:
+        """Whether frames ahead of it on its connection are still unanswered."""
+        return any(not frame.finished for frame in self.ahead)
 
 
 @dataclass(slots=True)
-class Entry:
-    """One request id."""
+class RequestRecord:
+    """What was observed of one request id."""
 
     rid: str
     errand: str
@@ -134,96 +136,110 @@
     balancer: str
     sent: int
     deadline: int
-    tries: list[Try] = field(default_factory=list)
-    life: int = 0  # of the balancer that it was sent to
+    attempt_log: list[AttemptRecord] = field(default_factory=list)
+    incarnation: int = 0  # of the balancer process that it was sent to
     answers: int = 0
     answered_at: int = 0
-    over: bool = False
+    finished: bool = False
     served_by: set[str] = field(default_factory=set)
     gave_up: int | None = None
-    left: int | None = None  # when its client closed its connection
-    before: int = 0  # of its tries, those for earlier sendings of a clinic that were given back
-    frames: list[Frame] = field(default_factory=list)  # those that a clinic sent
+    left_at: int | None = None  # when its client closed its connection
+    attempts_before: int = 0  # attempts for earlier transmissions of a clinic's message that were rejected
+    frames: list[Frame] = field(default_factory=list)  # transmissions by a clinic
 
-    def listened(self, since: int) -> bool:
-        """Whether somebody waits for its answer who had sent before that."""
-        return not self.frames or any(not frame.over and frame.sent <= since for frame in self.frames)
+    def is_awaited(self, since: int) -> bool:
+        """Whether a client that sent it before `since` still waits for the answer."""
+        return not self.frames or any(not frame.finished and frame.sent <= since for frame in self.frames)
 
-    def held_up(self) -> bool:
-        """Whether all that wait for its answer have others to hear first, on their connections."""
-        return bool(self.frames) and all(frame.over or frame.behind() for frame in self.frames)
+    def is_blocked(self) -> bool:
+        """Whether everyone waiting for its answer must get answers to earlier frames first."""
+        return bool(self.frames) and all(
+            frame.finished or frame.has_unanswered_predecessors() for frame in self.frames
+        )
 
-    def may_have_run(self) -> Try | None:
-        """An attempt that may have run; None where all are disproved."""
-        return next((t for t in self.tries if not t.disproved), None)
+    def may_have_run(self) -> AttemptRecord | None:
+        """An attempt that may have run; None if all are proved not to have run."""
+        return next((t for t in self.attempt_log if not t.disproved), None)
 
 
 class Referee:
-    """Checks every fact that it is told against the rules."""
+    """Checks observations against the rules."""
 
     def __init__(
         self,
         terms: Terms,
         excuse: Callable[[str, int, int, int], bool],
-        parted: Callable[[str, int, int], bool] = lambda *_: False,
+        was_partitioned: Callable[[str, int, int], bool] = lambda *_: False,
         reached: Callable[[str], int] = lambda _: 0,
         unseen: Callable[[str], int] = lambda _: 0,
     ) -> None:
-        """`excuse(balancer, sent, since, until)`: whether something else kept it from answering.
+        """Create a checker; the callbacks say what the observations do not show.
 
-        A machine that stood still counts between `since` and `until`, a link that was down from `sent` on.
-        `parted(balancer, since, until)`: whether clients could not reach it for some of that time.
-        `reached(balancer)`: since when it could have asked discovery at any instant.
-        `unseen(balancer)`: by which what it wrote may be seen too late just now, where time is not virtual.
+        `excuse(balancer, sent, since, until)`: whether a fault kept it from answering. A stall of its machine
+        counts between `since` and `until`, a link that was down counts from `sent` on.
+        `was_partitioned(balancer, since, until)`: whether clients could not reach it for part of that time.
+        `reached(balancer)`: since when it could have reached discovery without interruption.
+        `unseen(balancer)`: by how much its writes may be observed late at present, where time is not virtual.
         """
         self.terms = terms
-        self.excuse, self.parted, self.reached, self.unseen = excuse, parted, reached, unseen
-        self.out: dict[str, int] = {}  # since when discovery shows that it drains or is gone
+        self.excuse, self.was_partitioned, self.reached, self.unseen = (
+            excuse,
+            was_partitioned,
+            reached,
+            unseen,
+        )
+        self.withdrawn_since: dict[
+            str, int
+        ] = {}  # instance: since when discovery lists it as draining or gone
         self.breaches: list[Breach] = []
-        self.entries: dict[str, Entry] = {}
-        self.frames: dict[tuple[str, int], Frame] = {}  # by message and number
+        self.entries: dict[str, RequestRecord] = {}
+        self.frames: dict[tuple[str, int], Frame] = {}  # by message and transmission number
         self.effects: dict[str, list[tuple[int, str]]] = {}  # by errand: when and where it took effect
-        self.kinds: dict[str, str] = {}
+        self.kinds: dict[str, str] = {}  # by errand: safe, keyed or unsafe
         self.listed: dict[str, set[str]] = {}  # by balancer: instances that it was told of and are not gone
-        self.known: dict[tuple[str, str], int] = {}  # balancer, instance: since when it is known to be off
-        self.started: dict[tuple[str, str], int] = {}  # balancer, instance: since when its start is known
-        self.work: dict[str, list[tuple[int, str, float]]] = {}  # by instance, while cold
-        self.given_up: list[Entry] = []
-        self.bans: dict[tuple[str, str], int] = {}  # balancer, instance: since when operators know it is out
-        self.returned: set[str] = set()  # put back by hand: they count as cold for long
-        self.lives: Counter[str] = Counter()
-        self.counts: dict[str, Counter[str]] = defaultdict(Counter)  # by balancer, of its present life
+        # By balancer and instance: since when the balancer knows that the instance is draining or gone, and
+        # since when it knows the instance's start time.
+        self.known_withdrawn: dict[tuple[str, str], int] = {}
+        self.known_starts: dict[tuple[str, str], int] = {}
+        self.recent_work: dict[str, list[tuple[int, str, float]]] = {}  # instance: when, balancer, cost
+        self.given_up: list[RequestRecord] = []
+        self.bans: dict[tuple[str, str], int] = {}  # balancer, instance: when the ban was confirmed
+        self.unbanned: set[str] = set()  # instances whose ban was lifted: they count as cold for long
+        self.incarnations: Counter[str] = Counter()  # by balancer: how often it was started
+        self.counts: dict[str, Counter[str]] = defaultdict(Counter)  # by balancer, since its last start
         self.served = self.refused = self.failed = 0
 
     def breach(self, rule: str, at: int, text: str) -> None:
-        """Note a broken rule."""
+        """Record a broken rule."""
         self.breaches.append(Breach(rule, at, text))
 
     # ---- clients ----
 
     def asked(self, now: int, rid: str, errand: str, kind: str, balancer: str, deadline: int) -> None:
-        """The last byte of a request has been handed over; `deadline` is when its client gives up."""
+        """A client has written the last byte of a request; it gives up at `deadline`."""
         known = self.entries.get(rid)
         self.counts[balancer]["asked"] += 1
-        if known is not None and not known.over:  # the same once more, on a new connection
+        if known is not None and not known.finished:  # the client repeats it on a new connection
             known.sent, known.deadline, known.balancer = now, deadline, balancer
-            known.life = self.lives[balancer]
+            known.incarnation = self.incarnations[balancer]
             return
-        self.entries[rid] = Entry(rid, errand, kind, balancer, now, deadline, life=self.lives[balancer])
+        self.entries[rid] = RequestRecord(
+            rid, errand, kind, balancer, now, deadline, incarnation=self.incarnations[balancer]
+        )
         self.kinds[errand] = kind
 
     def answered(self, now: int, rid: str, status: int, body: str) -> None:
-        """A client got a whole answer."""
+        """A client received a complete answer."""
         entry = self.entries[rid]
         entry.answers += 1
         entry.answered_at = now
-        entry.over = True
+        entry.finished = True
         if entry.answers > 1:
             self.breach(TWICE_ANSWERED, now, f"{rid} has a second answer")
         late = now - entry.deadline - self.terms.answer_slack
         if late > 0 and not self.excuse(entry.balancer, entry.sent, entry.deadline, now):
             self.breach(LOST, now, f"{rid} is answered {late / MS:.1f} ms after its time")
-        if entry.life == self.lives[entry.balancer]:
+        if entry.incarnation == self.incarnations[entry.balancer]:
             what = {200: "success", 429: "busy", 503: "busy"}.get(status, "failure")
             self.counts[entry.balancer][what] += 1
         if status == 200:
@@ -236,42 +252,42 @@
         else:
             self.failed += 1
 
-    def _check_body(self, now: int, entry: Entry, body: str) -> None:
+    def _check_body(self, now: int, entry: RequestRecord, body: str) -> None:
         name, _, rest = body.partition(" did ")
         if rest.strip() != entry.rid or name not in entry.served_by:
             self.breach(WRONG_ANSWER, now, f"{entry.rid} is served with {body[:60]!r}")
 
     def broken(self, now: int, rid: str, again: bool, spoilt: bool = False) -> None:
-        """Its connection ended with no whole answer; `again`: the client sends it on a new one.
+        """Its connection ended without a complete answer; `again`: the client repeats it on a new connection.
 
-        `spoilt`: its sender had reset the connection that the answer was coming on, and the client sees that
-        the end is missing. Where the balancer ends it by itself the request is lost.
+        `spoilt`: the sender reset its connection in the middle of the answer, and the client can see that the
+        answer is truncated. If the balancer ends the connection of its own accord, the request is lost.
         """
         entry = self.entries[rid]
-        if entry.over:
+        if entry.finished:
             return
-        entry.over = not again
+        entry.finished = not again
         if spoilt:
             self.failed += 1
-        elif entry.tries and not self.excuse(entry.balancer, entry.sent, entry.sent, now):
+        elif entry.attempt_log and not self.excuse(entry.balancer, entry.sent, entry.sent, now):
             self.breach(LOST, now, f"{rid} was sent on, and its connection ended without an answer")
 
     def gone(self, now: int, rid: str) -> None:
-        """Its client gave up, after its time or before."""
+        """Its client disconnected, after its deadline or before."""
         entry = self.entries[rid]
-        if entry.over:
+        if entry.finished:
             return
-        entry.over, entry.left = True, now
+        entry.finished, entry.left_at = True, now
         late = now > entry.deadline + self.terms.answer_slack
         limit = entry.deadline + self.terms.answer_slack
         if late and not self.excuse(entry.balancer, entry.sent, entry.deadline, limit):
             self.breach(LOST, now, f"{rid} has no answer {(now - entry.deadline) / MS:.0f} ms after its time")
 
     def extra(self, now: int, balancer: str, data: bytes) -> None:
-        """A client got bytes that answer nothing."""
+        """A client received bytes that belong to no request."""
         self.breach(TWICE_ANSWERED, now, f"{balancer} sends a client {data[:40]!r}, which answers nothing")
 
-    # ---- clinics: a message is one request, however often its frame comes ----
+    # ---- clinics: a message is one request, however often its frame is sent ----
 
     def framed(
         self,
@@ -283,43 +299,50 @@
         deadline: int,
         ahead: list[tuple[str, int]],
     ) -> None:
-        """The last byte of a frame has been handed over, behind those `ahead` on its connection."""
+        """A clinic has written the last byte of a frame; those `ahead` on its connection are unanswered."""
         entry = self.entries.get(rid)
         if entry is None:
-            entry = self.entries[rid] = Entry(rid, rid, kind, balancer, now, deadline)
+            entry = self.entries[rid] = RequestRecord(rid, rid, kind, balancer, now, deadline)
             self.kinds[rid] = kind
         entry.balancer, entry.sent, entry.deadline = balancer, now, deadline
         if not entry.answers:
-            entry.over = False
-        if kind == "safe" or all(one.disproved for one in entry.tries):
-            entry.before = len(entry.tries)  # it may have been given back meanwhile, and count as new
+            entry.finished = False
+        if kind == "safe" or all(one.disproved for one in entry.attempt_log):
+            # It may have been rejected meanwhile: then this transmission counts as a new request.
+            entry.attempts_before = len(entry.attempt_log)
         before = [self.frames[one] for one in ahead]
         due = max([deadline, *(frame.deadline for frame in before)])
         frame = self.frames[rid, number] = Frame(balancer, now, due, before)
         entry.frames.append(frame)
 
     def acknowledged(self, now: int, rid: str, number: int, code: str, certain: bool) -> None:
-        """A frame's last acknowledgement. `certain`: a good one says that it was done, not only safe."""
+        """The last acknowledgement of a frame. `certain`: a positive one means executed, not only stored."""
         entry, frame = self.entries[rid], self.frames[rid, number]
-        if frame.over:
+        if frame.finished:
             self.breach(TWICE_ANSWERED, now, f"{rid}/{number} has a second answer")
         late = now - frame.deadline - self.terms.answer_slack
         if late > 0 and not self.excuse(frame.balancer, frame.sent, frame.deadline, now):
             self.breach(LOST, now, f"{rid}/{number} is answered {late / MS:.1f} ms after its time")
-        frame.over = entry.over = True
+        frame.finished = entry.finished = True
         entry.gave_up = None
         if code[1] == "R":
             self.refused += 1
-            entry.before = len(entry.tries)
-            if any(not other.over for other in entry.frames):
-                return  # another sending of it is under way: which of the two was rejected can't be seen
-            # What went out while the answer was on its way belongs to a sending that was read after this one.
-            known = [one for one in entry.tries if one.at <= now - self.terms.way or len(entry.frames) == 1]
+            entry.attempts_before = len(entry.attempt_log)
+            if any(not other.finished for other in entry.frames):
+                return  # another transmission is in flight: which of the two was rejected is not observable
+            # Attempts that started while the answer was in flight belong to a later transmission.
+            known = [
+                one
+                for one in entry.attempt_log
+                if one.at <= now - self.terms.client_delay or len(entry.frames) == 1
+            ]
             if entry.kind != "safe" and any(not one.disproved for one in known):
                 self.breach(REFUSED_RUN, now, f"{rid} ({entry.kind}) is rejected and may have run")
             if not entry.answers:
-                entry.tries = [one for one in entry.tries if one not in known]  # these have not run
-                entry.before = 0
+                entry.attempt_log = [
+                    one for one in entry.attempt_log if one not in known
+                ]  # these have not run
+                entry.attempts_before = 0
             return
         entry.answers += 1
         self.served += code[1] == "A"
@@ -328,21 +351,21 @@
             self.breach(WRONG_ANSWER, now, f"{rid} is acknowledged with {code}, and nobody did it")
 
     def cut_off(self, now: int, rid: str, number: int) -> None:
-        """Its connection ended without the last acknowledgement, and not by the clinic."""
+        """Its connection was closed, not by the clinic, before the last acknowledgement."""
         entry, frame = self.entries[rid], self.frames[rid, number]
-        if frame.over:
+        if frame.finished:
             return
-        frame.over = True
-        taken = entry.tries and len(entry.frames) == 1  # of several, which was taken can't be seen
+        frame.finished = True
+        taken = entry.attempt_log and len(entry.frames) == 1  # of several, which was taken can't be seen
         if taken and not self.excuse(frame.balancer, frame.sent, frame.sent, now):
             self.breach(LOST, now, f"{rid}/{number} was sent on, and its connection ended without an answer")
 
     def unheard(self, now: int, rid: str, number: int) -> None:
-        """The clinic stopped listening, past its time or before."""
+        """The clinic stopped waiting for the answer, after its deadline or before."""
         frame = self.frames[rid, number]
-        if frame.over:
+        if frame.finished:
             return
-        frame.over = True
+        frame.finished = True
         limit = frame.deadline + self.terms.answer_slack
         if now > limit and not self.excuse(frame.balancer, frame.sent, frame.deadline, limit):
             self.breach(
@@ -351,22 +374,27 @@
                 f"{rid}/{number} has no answer {(now - frame.deadline) / MS:.0f} ms " "after its time",
             )
 
-    # ---- the wire between balancers and senders ----
+    # ---- traffic between balancers and senders ----
 
     def begun(self, now: int, balancer: str, sender: str, rid: str) -> None:
-        """The first byte of an attempt has been handed to the balancer's kernel."""
+        """The balancer has written the first byte of an attempt: checks that its client is still there."""
         entry = self.entries.get(rid)
-        if entry is None or entry.left is None:
+        if entry is None or entry.left_at is None:
             return
-        late = now - entry.left - self.terms.way
-        if late > self.terms.gone + self.unseen(balancer) and not self.parted(balancer, entry.left, now):
+        late = now - entry.left_at - self.terms.client_delay
+        if late > self.terms.client_gone_grace + self.unseen(balancer) and not self.was_partitioned(
+            balancer, entry.left_at, now
+        ):
             self.breach(GONE, now, f"{rid} goes to {sender} {late / MS:.0f} ms after its client left")
 
     def first_byte(self, now: int, balancer: str, sender: str, rid: str, mistaken: bool = False) -> None:
-        """`mistaken`: by the list from before its start it takes this one for another."""
-        since = self.known.get((balancer, sender))
-        if since is None and sender in self.out:
-            since = max(self.out[sender], self.reached(balancer)) + self.terms.told
+        """The balancer has written the first byte of an attempt: checks that the sender is in rotation.
+
+        `mistaken`: by the list it was started with, another instance has this sender's address.
+        """
+        since = self.known_withdrawn.get((balancer, sender))
+        if since is None and sender in self.withdrawn_since:
+            since = max(self.withdrawn_since[sender], self.reached(balancer)) + self.terms.discovery_delay
         if since is not None and now > since + self.terms.drain_grace + self.unseen(balancer):
             self.breach(
                 DRAIN,
@@ -374,9 +402,11 @@
                 f"{rid} goes to {sender} {(now - since) / MS:.0f} ms after {balancer} "
                 f"was told that it drains or is gone",
             )
-        out = self.bans.get((balancer, sender))
-        if out is not None and not mistaken and now > out + self.terms.drain_grace:
-            self.breach(BAN, now, f"{rid} goes to {sender} {(now - out) / MS:.0f} ms after it was taken out")
+        banned_since = self.bans.get((balancer, sender))
+        if banned_since is not None and not mistaken and now > banned_since + self.terms.drain_grace:
+            self.breach(
+                BAN, now, f"{rid} goes to {sender} {(now - banned_since) / MS:.0f} ms after it was taken out"
+            )
 
     def written(
         self,
@@ -387,62 +417,66 @@
         cell: int,
         connection: int,
         cost: float,
-        blind: bool = False,
+        address_reused: bool = False,
     ) -> None:
-        """The last byte of an attempt has been handed to the balancer's kernel.
+        """The balancer has written the last byte of an attempt.
 
-        `blind`: by what it was told in this life another sender lives at this address: nobody could have
-        told which rack has seen its key.
+        `address_reused`: by what it was told since its start, another sender has this address, so it could
+        not know which rack has seen the key.
         """
         entry = self.entries.get(rid)
         if entry is None:
             self.breach(FAULT, now, f"{balancer} sends {rid}, which no client asked for")
             return
-        after = entry.over and entry.answers and now > entry.answered_at + self.unseen(balancer)
+        after = entry.finished and entry.answers and now > entry.answered_at + self.unseen(balancer)
         if after and not self.excuse(balancer, entry.sent, entry.sent, now):
             self.breach(SENT_AFTER, now, f"{rid} is sent to {sender} after its answer came")
         anchor = entry.may_have_run()
         if anchor is not None and entry.kind == "unsafe":
             self.breach(UNSAFE_AGAIN, now, f"{rid} goes to {sender} and may have run at {anchor.sender}")
-        if anchor is not None and entry.kind == "keyed" and not (blind or anchor.blind):
+        if anchor is not None and entry.kind == "keyed" and not (address_reused or anchor.address_reused):
             if cell != anchor.cell:
                 self.breach(KEYED_ASTRAY, now, f"{rid} goes to rack {cell} and may have run in {anchor.cell}")
             elif now > anchor.at + self.terms.window + 50 * MS + self.unseen(balancer):
                 self.breach(KEYED_ASTRAY, now, f"{rid} goes again after its window")
-        entry.tries.append(Try(now, balancer, sender, cell, connection, blind))
+        entry.attempt_log.append(AttemptRecord(now, balancer, sender, cell, connection, address_reused))
         self.counts[balancer]["attempts"] += 1
-        attempts = len(entry.tries) - entry.before
+        attempts = len(entry.attempt_log) - entry.attempts_before
         if attempts > self.terms.attempts:
             self.breach(ATTEMPTS, now, f"{rid} has attempt {attempts}")
-        self.work.setdefault(sender, []).append((now, balancer, cost))
+        self.recent_work.setdefault(sender, []).append((now, balancer, cost))
 
     def deadline_told(self, now: int, rid: str, told: int) -> None:
-        """An attempt tells its sender how long its answer is waited for, in nanoseconds."""
+        """An attempt carries a deadline to its sender, as nanoseconds from now."""
         entry = self.entries.get(rid)
         if entry is None or entry.frames:
-            return  # a clinic tells no deadline of its own
-        over = told - max(0, entry.deadline - now)
+            return  # a clinic sends no deadline
+        excess = told - max(0, entry.deadline - now)
         allowed = self.terms.deadline_slack + self.unseen(entry.balancer)
-        if over > allowed and not self.excuse(entry.balancer, entry.sent, entry.sent, now):
-            self.breach(DEADLINE, now, f"{rid} tells {over / MS:.0f} ms more than its client has left")
+        if excess > allowed and not self.excuse(entry.balancer, entry.sent, entry.sent, now):
+            self.breach(DEADLINE, now, f"{rid} tells {excess / MS:.0f} ms more than its client has left")
 
     def disproved(self, connection: int, rid: str) -> None:
-        """An answer that proves that it never ran has arrived back on this connection."""
+        """An answer that proves that the attempt did not run has arrived on this connection."""
         entry = self.entries.get(rid)
-        for one in entry.tries if entry is not None else ():
+        for one in entry.attempt_log if entry is not None else ():
             if one.connection == connection:
                 one.disproved = True
 
     # ---- senders ----
 
     def ran(self, now: int, rid: str, errand: str, sender: str, repeat: bool) -> None:
-        """A sender ran a request; `repeat`: its rack had seen its key."""
+        """A sender executed a request; `repeat`: its rack had seen its key before."""
         entry = self.entries.get(rid)
         if entry is not None:
             entry.served_by.add(sender)
         if self.kinds.get(errand) == "safe" or repeat:
             return
-        if self.kinds.get(errand) == "keyed" and entry is not None and self._nobody_could_tell(now, entry):
+        if (
+            self.kinds.get(errand) == "keyed"
+            and entry is not None
+            and self._repeat_was_undetectable(now, entry)
+        ):
             return
         effects = self.effects.setdefault(errand, [])
         effects.append((now, sender))
@@ -450,76 +484,78 @@
             where = " and ".join(f"at {s}" for _, s in effects)
             self.breach(EFFECT_TWICE, now, f"{errand} ({self.kinds.get(errand)}) takes effect {where}")
 
-    def _nobody_could_tell(self, now: int, entry: Entry) -> bool:
-        """Whether a repeat of a key that took effect was sent as it may be.
+    def _repeat_was_undetectable(self, now: int, entry: RequestRecord) -> bool:
+        """Whether a repeated key took effect although every attempt was permitted.
 
-        It met another process than its balancer had been told of, or was sent in time to a sender that stood
-        still and came to it when its rack had forgotten the key.
+        Either an attempt reached another process than its balancer had been told of, or it was sent in time
+        to a stalled sender, which read it after its rack had dropped the key.
         """
-        first, last = entry.tries[0].at, entry.tries[-1].at
+        first, last = entry.attempt_log[0].at, entry.attempt_log[-1].at
         sent_in_time = last <= first + self.terms.window
         forgotten = now > (first if sent_in_time else last) + self.terms.window
-        return forgotten or any(one.blind for one in entry.tries)
+        return forgotten or any(one.address_reused for one in entry.attempt_log)
 
     def fell(self, now: int, sender: str) -> None:
-        """A cold sender was sent more than it bears; it counts when those who knew sent two thirds of it."""
-        recent = [(b, c) for at, b, c in self.work.get(sender, ()) if at > now - self.terms.fall_window]
+        """A cold sender was overloaded: a breach if two thirds of its work came from balancers that knew."""
+        recent = [
+            (b, c) for at, b, c in self.recent_work.get(sender, ()) if at > now - self.terms.overload_window
+        ]
         total = sum(c for _, c in recent) or 1.0
-        told = sum(c for b, c in recent if (b, sender) in self.started)
-        if told >= self.terms.told_share * total:
+        told = sum(c for b, c in recent if (b, sender) in self.known_starts)
+        if told >= self.terms.informed_share * total:
             self.breach(COLD, now, f"{sender} falls over, {told / total:.0%} of its work from those who knew")
 
-    # ---- what discovery has, and what balancers are told ----
+    # ---- discovery's list, and what balancers are told of it ----
 
     def shown(self, now: int, instance: str, active: bool) -> None:
-        """Discovery has it so from now on."""
+        """Discovery's entry of an instance has changed."""
         if active:
-            self.out.pop(instance, None)
+            self.withdrawn_since.pop(instance, None)
         else:
-            self.out.setdefault(instance, now)
+            self.withdrawn_since.setdefault(instance, now)
 
     def told(self, now: int, balancer: str, instance: str, active: bool, started: bool) -> None:
-        """Discovery has told a balancer of an instance."""
+        """Discovery has sent an instance's entry to a balancer."""
         key = (balancer, instance)
         self.listed.setdefault(balancer, set()).add(instance)
         if active:
-            self.known.pop(key, None)
+            self.known_withdrawn.pop(key, None)
         else:
-            self.known.setdefault(key, now)
+            self.known_withdrawn.setdefault(key, now)
         if started:
-            self.started.setdefault(key, now)
+            self.known_starts.setdefault(key, now)
 
     def told_whole(self, now: int, balancer: str, listed: set[str]) -> None:
-        """A whole list: whoever is not on it is gone."""
+        """Discovery has sent a full list to a balancer: instances that are not on it are gone."""
         for instance in sorted(self.listed.setdefault(balancer, set()) - listed):
             self.told(now, balancer, instance, False, False)
         self.listed[balancer] = set(listed)
 
     def reborn(self, balancer: str) -> None:
-        """A new process under this name: it has been told nothing yet."""
-        self.lives[balancer] += 1
+        """A balancer has been restarted and knows nothing yet."""
+        self.incarnations[balancer] += 1
         self.counts.pop(balancer, None)
-        for table in (self.known, self.started, self.bans):
+        for table in (self.known_withdrawn, self.known_starts, self.bans):
             for key in [k for k in table if k[0] == balancer]:
                 del table[key]
         self.listed.pop(balancer, None)
 
     # ---- operators ----
 
-    def taken_out(self, now: int, balancer: str, instance: str) -> None:
-        """The balancer has said yes to a ban."""
+    def ban_confirmed(self, now: int, balancer: str, instance: str) -> None:
+        """The balancer has confirmed a ban."""
         self.bans.setdefault((balancer, instance), now)
 
-    def put_back(self, balancer: str, instance: str) -> None:
-        """The ban's end is being called for."""
+    def ban_lifted(self, balancer: str, instance: str) -> None:
+        """The operator lifts a ban."""
         self.bans.pop((balancer, instance), None)
-        self.returned.add(instance)
+        self.unbanned.add(instance)
 
     def figures(self, now: int, balancer: str, told: dict[str, int], before: dict[str, int]) -> None:
-        """What a balancer counted; `before`: what had been seen of it when it was asked.
+        """Check a balancer's metrics; `before`: the observed counts when the metrics were requested.
 
-        A count lies between what had been seen by then and what has been by now. An answer counted may be on
-        its way still, or its client have left: so many more there may be as were asked and not answered.
+        A counter must lie between the observed count at the request and the present one. It may be higher by
+        the number of unanswered requests: their answers may be in flight, or their clients disconnected.
         """
         seen = self.counts[balancer]
         unseen = seen["asked"] - sum(seen[what] for what in ("success", "busy", "failure"))
@@ -530,26 +566,26 @@
         if not 0 <= told["inflight"] <= seen["asked"]:
             self.breach(FIGURES, now, f"{balancer} tells {told['inflight']} in flight")
 
-    # ---- answers at once ----
+    # ---- requests that were given up ----
 
     def gave_up(self, now: int, rid: str) -> None:
-        """The balancer says that it gave a request up."""
+        """The decision module gave a request up."""
         entry = self.entries.get(rid)
-        if entry is not None and not entry.over and entry.listened(now - self.terms.way):
+        if entry is not None and not entry.finished and entry.is_awaited(now - self.terms.client_delay):
             entry.gave_up = now
             self.given_up.append(entry)
 
     def step(self, now: int) -> None:
-        """After each event: what has been given up must have been answered."""
+        """Check, after each event, that requests which were given up have been answered in time."""
         if not self.given_up:
             return
-        rest = list[Entry]()
+        rest = list[RequestRecord]()
         for entry in self.given_up:
-            if entry.over or entry.gave_up is None or not entry.listened(entry.gave_up):
+            if entry.finished or entry.gave_up is None or not entry.is_awaited(entry.gave_up):
                 continue
-            if entry.held_up():
+            if entry.is_blocked():
                 entry.gave_up = now
-            if now <= entry.gave_up + self.terms.at_once:
+            if now <= entry.gave_up + self.terms.refusal_delay:
                 rest.append(entry)
             elif not self.excuse(entry.balancer, entry.sent, entry.gave_up, now):
                 held = (now - entry.gave_up) / MS
--- a/dykeshift/sim/runner.py
+++ b/dykeshift/sim/runner.py
@@ -1,4 +1,4 @@
-"""Many days at once: seeds spread over processes, results in the order of the seeds."""
+"""Runs many seeds in parallel worker processes; results come in the order of the seeds."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Played:
-    """What one seed came to. `cpu` in seconds, `virtual` in virtual seconds."""
+    """The result of one seed. `cpu` in seconds, `virtual` in virtual seconds."""
 
     seed: str
-    rules: tuple[str, ...]  # broken, each once
-    first: str  # the first breach in one line
+    rules: tuple[str, ...]  # the broken rules, each once
+    first: str  # the first breach as a line of text
     digest: str
     steps: int
     virtual: float
@@ -28,9 +28,9 @@
 
 
 def play_seed(seed: str) -> Played:
-    """Draw and play the day of a seed; safe to call in a worker process."""
+    """Draw and run the scenario of a seed; safe to call in a worker process."""
     began = time.process_time()
-    gc.disable()  # a day makes few cycles; they are collected between days
+    gc.disable()  # a run creates few reference cycles; they are collected between runs
     try:
         result = play(draw(seed))
     finally:
@@ -55,16 +55,16 @@
 def play_all(
     seeds: Iterable[str], jobs: int, seen: Callable[[Played], None] = lambda _: None
 ) -> list[Played]:
-    """Play these seeds in `jobs` processes; `seen` is told of each as it is done."""
+    """Run these seeds in `jobs` processes; `seen` is called with each result as it is ready."""
     todo = list(seeds)
     done = dict[str, Played]()
-    for played in _spread(todo, jobs):
+    for played in _play_in_pool(todo, jobs):
         done[played.seed] = played
         seen(played)
     return [done[seed] for seed in todo]
 
 
-def _spread(todo: list[str], jobs: int) -> Iterator[Played]:
+def _play_in_pool(todo: list[str], jobs: int) -> Iterator[Played]:
     if jobs <= 1 or len(todo) == 1:
         yield from map(play_seed, todo)
         return
--- a/dykeshift/sim/scenario.py
+++ b/dykeshift/sim/scenario.py
@@ -1,10 +1,10 @@
-"""A scenario: everything that a day in the simulation is made of, drawn from a seed or read from a file.
+"""A scenario: the complete description of a simulation run, drawn from a seed or read from a file.
 
-A scenario is plain data. Playing the same one gives the same day to the last event; a part may be taken
-out (a fault, some requests) without changing what the rest says, which is what `shrink` does.
+A scenario is plain data. Running the same one gives the same events; a part (a fault, some requests) can be
+removed without changing the rest, which is what `shrink` does.
 
 Swarm testing (Groce et al., ISSTA 2012): each seed enables a random subset of the kinds of faults, so that
-no kind is always there to hide another, and combinations are common.
+no kind is always present and masks another, and combinations are common.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from dykeshift.standins.hl7 import MODES
 
 VERSION = 1
-CHAOS = 7.0  # seconds of requests and faults
-HEAL = 8.0  # when the last fault ends
-RECOVERY = 4.0  # seconds after that until requests must be served again
-PROBES = 2.0  # seconds in which that is tried
+FAULT_PERIOD = 7.0  # seconds during which requests are sent and faults start
+FAULTS_END = 8.0  # seconds from the start; all faults have ended by then
+RECOVERY = 4.0  # seconds after FAULTS_END until requests must be served again
+PROBE_PERIOD = 2.0  # seconds of probe requests, which check that they are
 CLASSES = ("status-check", "reminder-set", "sms-send")
 KINDS = {"status-check": "safe", "reminder-set": "keyed", "sms-send": "unsafe"}
 
@@ -59,19 +59,20 @@
     "flood",
     "costly",
 )
-WATCH_FAULTS = ("watches-silent", "watches-reset")  # all open ones at once: drawn on days of their own
-DISK_FAULTS = ("disk-full", "disk-slow", "disk-fails")  # drawn where balancers keep a journal
-OPERATORS = ("ban", "standby", "retune")  # what operators do: drawn on days with consoles
-WITH_OPERATORS = "+ops"  # ends the names of seeds whose days have operators
-WITH_MLLP = "+mllp"  # ends the names of seeds whose days have clinics
-WITH_VIEW = "+view"  # of those whose balancers keep a view of one another
-ENDS = "+ends"  # of those on which balancers are told to end while clients go on, under all deadlines
-WATCHES = "+watches"  # and of those on which watches break just before senders drain for long
-COLD_AT_SIZE = "+cold"  # and of those with many balancers before few senders that restart under load
+WATCH_FAULTS = ("watches-silent", "watches-reset")  # of all open watches at once: only with WATCHES
+DISK_FAULTS = ("disk-full", "disk-slow", "disk-fails")  # only where balancers keep a journal
+OPERATORS = ("ban", "standby", "retune")  # actions of operators: only with WITH_OPERATORS
+# Suffixes of seeds, which select the kind of scenario that is drawn:
+WITH_OPERATORS = "+ops"  # operators call the balancers' consoles
+WITH_MLLP = "+mllp"  # clinics send messages over MLLP
+WITH_VIEW = "+view"  # balancers keep a view of the fleet
+ENDS = "+ends"  # balancers are terminated under traffic, with various longest deadlines
+WATCHES = "+watches"  # all discovery watches break just before senders drain for long
+COLD_AT_SIZE = "+cold"  # many balancers, and few senders that restart under load
 
 
 class ScenarioError(ValueError):
-    """A scenario that cannot be used; its text is one line for people."""
+    """An unusable scenario; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,13 +82,13 @@
     kind: str
     at: float  # seconds from the start
     length: float = 0.0
-    which: int = 0  # of the balancers, senders or zones it concerns
-    size: float = 0.0
+    which: int = 0  # index of the balancer, sender or zone, modulo their number
+    size: float = 0.0  # severity; the meaning depends on the kind
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """One errand of a client. Times in seconds but for `cost`, in milliseconds of work."""
+    """One errand of a client. Times are in seconds; `cost` is in milliseconds of work."""
 
     at: float
     klass: int
@@ -96,34 +97,34 @@
     retries: int = 0
     hinted: bool = False
     leaves: float | None = None
-    clinic: int = -1  # it comes from this clinic, as an HL7 message over MLLP; -1: from an HTTP client
-    mode: str = "original"  # of acknowledgement, there
-    half: bool = False  # its first frame is cut in the middle
+    clinic: int = -1  # sent by this clinic as an HL7 message over MLLP; -1: by an HTTP client
+    mode: str = "original"  # the acknowledgement mode of a clinic's message
+    half: bool = False  # the connection is closed in the middle of the first frame
     twin: bool = False  # it is sent on two connections at once
-    pause: float = 0.0  # of its client between connecting and asking
+    pause: float = 0.0  # between connecting and sending the request
 
 
-PROGRAM_DESCRIPTORS = 14  # that a real process holds at rest and a simulated one does not
+PROGRAM_DESCRIPTORS = 14  # descriptors that an idle real process has open and a simulated one does not
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """The fleet, and how machine and network are."""
+    """The fleet, and the properties of machines and network."""
 
     balancers: int = 3
     senders: int = 6
     zones: int = 2
     racks: int = 2
     slots: int = 2
-    descriptors: int = 1024  # for each balancer, PROGRAM_DESCRIPTORS of them the program's own
-    sender_table: int = 200  # connections that a sender takes
+    descriptors: int = 1024  # limit of each balancer, including PROGRAM_DESCRIPTORS
+    sender_table: int = 200  # most connections that a sender accepts
     keepalive: float = 8.0
     push: bool = False
     copies: bool = True
     cancel: bool = True
     cold_share: float = 0.2
     cold_time: float = 5.0
-    window: float = 4.0  # seconds in which a rack drops the repeats of a key
+    window: float = 4.0  # seconds in which a rack drops repeats of a key
     front_notice: float = 1.0
     uvloop: bool = True
     callback_us: int = 20
@@ -133,16 +134,16 @@
     reset_discards: bool = False
     clinics: int = 0
     mllp_senders: bool = False  # the senders speak MLLP, not HTTP
-    journal: bool = False  # balancers have a disk that outlives them
-    consoles: bool = False  # operators can call the balancers
-    view: bool = False  # the balancers keep a view of one another
-    peer_loss: float = 0.0  # share of the datagrams between them
-    longest: float = 1.5  # seconds: the longest deadline of a class, to which the others stand as usual
+    journal: bool = False  # balancers keep a journal on a disk that persists over restarts
+    consoles: bool = False  # balancers have consoles, and operators call them
+    view: bool = False  # the balancers keep a view of the fleet
+    peer_loss: float = 0.0  # share of the datagrams between balancers that are lost
+    longest: float = 1.5  # seconds: the longest deadline of a class; the others are in proportion
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A day's options, requests and faults, under the seed of everything else."""
+    """Options, requests and faults; all other random choices of a run are drawn from `seed`."""
 
     seed: str
     options: Options = field(default_factory=Options)
@@ -150,11 +151,11 @@
     faults: tuple[Fault, ...] = ()
 
     def dump(self) -> str:
-        """The scenario as JSON, readable by `load`."""
+        """The scenario as JSON, which `load` reads."""
         return json.dumps({"version": VERSION, **asdict(self)}, indent=None, separators=(",", ":"))
 
     def without(self, faults: set[int], asks: set[int]) -> Scenario:
-        """The scenario without the faults and requests of these numbers."""
+        """The scenario without the faults and requests at these indices."""
         return replace(
             self,
             faults=tuple(f for n, f in enumerate(self.faults) if n not in faults),
@@ -163,7 +164,7 @@
 
 
 def load(text: str) -> Scenario:
-    """A scenario from its file's text; ScenarioError says what is wrong with it."""
+    """Read a scenario from JSON. Raises ScenarioError."""
     try:
         raw = json.loads(text)
         if raw.get("version") != VERSION:
@@ -194,17 +195,18 @@
 
 
 def bare(seed: str) -> str:
-    """The seed without what says of which kind its day is."""
+    """The seed without its suffixes."""
     for kind in (WITH_OPERATORS, WITH_VIEW, COLD_AT_SIZE, WATCHES, ENDS, WITH_MLLP):
         seed = seed.removesuffix(kind)
     return seed
 
 
 def draw(seed: str) -> Scenario:
-    """The scenario that belongs to a seed.
+    """Draw the scenario of a seed.
 
-    `+mllp`, `+ops`: the same day with clinics, with operators; `+view`: with more balancers, which keep a
-    view of one another; `+ends`: with ends of processes; `+cold`, `+watches`: other kinds.
+    A suffix selects a variant of the seed's scenario: `+mllp` with clinics, `+ops` with operators, `+view`
+    with more balancers that keep a view of the fleet, `+ends` with terminations of balancers. `+cold` and
+    `+watches` select scenarios of their own.
     """
     if seed.endswith(ENDS):
         return _with_ends(_rng(seed, "ends"), seed, draw(seed.removesuffix(ENDS)))
@@ -213,7 +215,7 @@
     if seed.endswith(WITH_OPERATORS):
         return _with_operators(_rng(seed, "operators"), seed, draw(seed.removesuffix(WITH_OPERATORS)))
     if seed.endswith(COLD_AT_SIZE):
-        return _cold_at_size(_rng(seed, "cold"), seed)
+        return _cold_senders_many_balancers(_rng(seed, "cold"), seed)
     if seed.endswith(WATCHES):
         return _watches_break(_rng(seed, "watches"), seed)
     if seed.endswith(WITH_MLLP):
@@ -283,28 +285,28 @@
     "vanish-sender": (0.3, 3.0),
     "restart-balancer": (0.5, 2.5),
 }
-OFTEN = {"stall": 3, "cut-stream": 4, "cut-answer": 4, "drain": 2, "kill-sender": 2, "flood": 2}
+MAX_OCCURRENCES = {"stall": 3, "cut-stream": 4, "cut-answer": 4, "drain": 2, "kill-sender": 2, "flood": 2}
 
 
 def _draw_faults(random: Random, options: Options) -> tuple[Fault, ...]:
     enabled = [kind for kind in FAULTS if random.random() < random.choice([0.15, 0.35])]
     faults = list[Fault]()
-    moments = [random.uniform(0.3, CHAOS) for _ in range(3)]  # faults gather round a few moments
+    cluster_times = [random.uniform(0.3, FAULT_PERIOD) for _ in range(3)]  # faults gather round a few moments
     for kind in enabled:
-        for _ in range(random.randint(1, OFTEN.get(kind, 1) + 1)):
+        for _ in range(random.randint(1, MAX_OCCURRENCES.get(kind, 1) + 1)):
             at = (
-                random.choice(moments) + random.choice([0.0, 0.0, random.gauss(0, 0.05)])
+                random.choice(cluster_times) + random.choice([0.0, 0.0, random.gauss(0, 0.05)])
                 if random.random() < 0.6
-                else random.uniform(0.2, CHAOS)
+                else random.uniform(0.2, FAULT_PERIOD)
             )
             low, high = LENGTHS.get(kind, (0.2, 4.0))
             length = low * (high / low) ** random.random()
-            at = min(max(at, 0.05), CHAOS)
+            at = min(max(at, 0.05), FAULT_PERIOD)
             faults.append(
                 Fault(
                     kind,
                     _round(at, options),
-                    _round(min(length, HEAL - at), options),
+                    _round(min(length, FAULTS_END - at), options),
                     random.randrange(1000),
                     round(random.uniform(*SIZES.get(kind, (0.0, 1.0))), 4),
                 )
@@ -313,7 +315,7 @@
 
 
 def _draw_asks(random: Random, options: Options, faults: tuple[Fault, ...]) -> tuple[Ask, ...]:
-    """Clients' errands: a steady stream and bursts during the chaos, then some to see that all is well."""
+    """Clients' errands: a steady stream and bursts during the faults, then the probe requests."""
     rate = random.choice([10.0, 20.0, 28.0])
     load = random.choice(
         [0.15, 0.35, 0.6, 0.8]
@@ -322,7 +324,7 @@
     asks = list[Ask]()
     mix = random.choice([(0.4, 0.3, 0.3), (0.1, 0.1, 0.8), (0.1, 0.8, 0.1), (0.8, 0.1, 0.1)])
     at = 0.0
-    while (at := at + random.expovariate(rate)) < CHAOS:
+    while (at := at + random.expovariate(rate)) < FAULT_PERIOD:
         asks.append(_ask(random, at, mix, mean_cost, options))
     for fault in faults:
         if fault.kind == "flood":
@@ -335,14 +337,14 @@
                 _ask(random, fault.at + random.random() * fault.length, mix, mean_cost * fault.size, options)
                 for _ in range(6)
             ]
-    asks += _last_asks(options)
+    asks += _probe_asks(options)
     return tuple(sorted(asks, key=lambda a: a.at))
 
 
-def _last_asks(options: Options) -> list[Ask]:
-    """Those that show whether all is well again."""
-    first = HEAL + RECOVERY
-    return [Ask(_round(first + n * PROBES / 24, options), n % 3, 1.5, 30, retries=2) for n in range(24)]
+def _probe_asks(options: Options) -> list[Ask]:
+    """The probe requests after the faults, which check that requests are served again."""
+    first = FAULTS_END + RECOVERY
+    return [Ask(_round(first + n * PROBE_PERIOD / 24, options), n % 3, 1.5, 30, retries=2) for n in range(24)]
 
 
 def _ask(random: Random, at: float, mix: tuple[float, ...], cost: float, options: Options) -> Ask:
@@ -359,11 +361,11 @@
     )
 
 
-# ---- days on which the cold budget is all that keeps a sender up ----
+# ---- cold senders: only the cold budget keeps them from being overloaded ----
 
 
-def _cold_at_size(random: Random, seed: str) -> Scenario:
-    """So many balancers that one attempt of each is more than a cold sender bears: rooms alone don't help."""
+def _cold_senders_many_balancers(random: Random, seed: str) -> Scenario:
+    """So many balancers that one attempt from each overloads a cold sender: a limit for each can't help."""
     options = Options(
         balancers=random.choice([40, 60]),
         senders=5,
@@ -376,7 +378,7 @@
     rate, load = random.choice([120.0, 160.0]), random.choice([0.7, 0.9])
     cost = load * options.senders * options.slots * 1000 / rate
     asks, at = list[Ask](), 0.0
-    while (at := at + random.expovariate(rate)) < CHAOS:
+    while (at := at + random.expovariate(rate)) < FAULT_PERIOD:
         work = min(max(2, int(random.expovariate(1 / cost))), int(cost * 4))
         asks.append(
             Ask(_round(at, options), random.choices(range(3), (0.2, 0.4, 0.4))[0], 1.0, work, retries=2)
@@ -385,31 +387,33 @@
         Fault("release", round(random.uniform(0.5, 2.0), 3), 2.0, random.randrange(1000), 1.0),
         Fault("kill-sender", round(random.uniform(2.5, 4.0), 3), 0.3, random.randrange(1000), 0.5),
     )
-    return Scenario(seed, options, (*asks, *_last_asks(options)), faults)
+    return Scenario(seed, options, (*asks, *_probe_asks(options)), faults)
 
 
-# ---- days on which balancers are told to end, and killed as early as the protocol page allows ----
+# ---- balancers are terminated, and killed as early as the protocol page allows ----
 
 LONGEST_DEADLINES = (0.2, 0.7, 1.2, 1.557, 2.157, 3.0, 4.0)
-KILL_GRACE, LONGEST_COUNTED = 0.7, 3.0  # seconds from SIGTERM to SIGKILL, beside the longest deadline
-LATE_COMERS = 16  # clients that connect round each SIGTERM and ask later
+# Seconds: SIGKILL follows SIGTERM after the longest deadline, of which LONGEST_COUNTED counts at most, and
+# KILL_GRACE more.
+KILL_GRACE, LONGEST_COUNTED = 0.7, 3.0
+LATE_COMERS = 16  # clients that connect around each SIGTERM and send their request later
 
 
 def kill_after(longest: float) -> float:
-    """Seconds from SIGTERM to the earliest SIGKILL, by the longest deadline of the deployment in seconds."""
+    """Seconds from SIGTERM to the earliest SIGKILL, given the deployment's longest deadline in seconds."""
     return min(longest, LONGEST_COUNTED) + KILL_GRACE
 
 
-def _with_ends(random: Random, seed: str, day: Scenario) -> Scenario:
-    """The same day under another longest deadline, with ends while senders lose, hang or stand still."""
-    options = replace(day.options, longest=random.choice(LONGEST_DEADLINES))
-    last = HEAL - kill_after(options.longest) - 0.1
-    faults = list(day.faults)
-    asks = [_within(random, ask, options) for ask in day.asks]
+def _with_ends(random: Random, seed: str, base: Scenario) -> Scenario:
+    """The same scenario with another longest deadline, and terminations while senders are faulty."""
+    options = replace(base.options, longest=random.choice(LONGEST_DEADLINES))
+    last = FAULTS_END - kill_after(options.longest) - 0.1
+    faults = list(base.faults)
+    asks = [_rescale_deadline(random, ask, options) for ask in base.asks]
     for which in range(options.balancers):
         at = random.uniform(0.5, last)
         faults.append(Fault("restart-balancer", _round(at, options), 0.3, which))
-        asks += [_late_comer(random, at, options) for _ in range(LATE_COMERS)]
+        asks += [_late_client(random, at, options) for _ in range(LATE_COMERS)]
         for kind in random.sample(("lose", "hang", "sender-stall", "slow"), 2):
             low, high = SIZES.get(kind, (0.0, 1.0))
             size, number = round(random.uniform(low, high), 4), random.randrange(1000)
@@ -419,25 +423,25 @@
     return Scenario(seed, options, tuple(sorted(asks, key=lambda ask: ask.at)), tuple(faults))
 
 
-def _within(random: Random, ask: Ask, options: Options) -> Ask:
-    """The same request with a deadline of this deployment."""
-    if ask.at >= HEAL:
+def _rescale_deadline(random: Random, ask: Ask, options: Options) -> Ask:
+    """The same request with a deadline that is allowed under `options.longest`."""
+    if ask.at >= FAULTS_END:
         return replace(ask, deadline=min(ask.deadline, options.longest))
     share = random.choice([1.0, 1.0, random.uniform(0.2, 1.0)])
     return replace(ask, deadline=round(options.longest * share, 3))
 
 
-def _late_comer(random: Random, at: float, options: Options) -> Ask:
-    """Connects round a SIGTERM at `at` seconds and asks up to a second later."""
+def _late_client(random: Random, at: float, options: Options) -> Ask:
+    """A client that connects around a SIGTERM at `at` seconds and sends its request up to 1.2 s later."""
     ask = _ask(random, max(0.05, at + random.uniform(-0.3, 0.4)), (0.3, 0.3, 0.4), 40.0, options)
     return replace(ask, deadline=options.longest, pause=round(random.uniform(0.0, 1.2), 3), leaves=None)
 
 
-# ---- days on which nobody is told in time who does not ask again in time ----
+# ---- watches break: a balancer that does not ask discovery again soon is told too late ----
 
 
 def _watches_break(random: Random, seed: str) -> Scenario:
-    """All watches break in one moment; a part of the senders begins to drain right after, and stays."""
+    """All watches break at once; right after, some of the senders start to drain, and keep running."""
     options = Options(
         balancers=random.randint(2, 5),
         senders=random.randint(5, 8),
@@ -453,50 +457,50 @@
         )
     first = random.randrange(1000)
     faults += [
-        Fault("drain", round(at + random.uniform(0.0, 0.3), 6), HEAL - 0.5, first + n)
+        Fault("drain", round(at + random.uniform(0.0, 0.3), 6), FAULTS_END - 0.5, first + n)
         for n in range(max(1, options.senders // 4))
     ]
     rate, cost = 60.0, 0.4 * options.senders * options.slots * 1000 / 60.0
     asks, when = list[Ask](), 0.0
-    while (when := when + random.expovariate(rate)) < HEAL - 0.1:
+    while (when := when + random.expovariate(rate)) < FAULTS_END - 0.1:
         asks.append(_ask(random, when, (0.4, 0.3, 0.3), cost, options))
-    return Scenario(seed, options, (*asks, *_last_asks(options)), tuple(sorted(faults, key=lambda f: f.at)))
+    return Scenario(seed, options, (*asks, *_probe_asks(options)), tuple(sorted(faults, key=lambda f: f.at)))
 
 
-# ---- days with operators ----
+# ---- operators ----
 
 
-def _with_operators(random: Random, seed: str, day: Scenario) -> Scenario:
-    """The same day, with consoles that are called: bans, drains by hand, new settings; figures are read."""
-    faults = list(day.faults)
+def _with_operators(random: Random, seed: str, base: Scenario) -> Scenario:
+    """The same scenario with operators: bans, standbys, changed settings; metrics are read."""
+    faults = list(base.faults)
     for kind in OPERATORS:
         for _ in range(random.randint(0, 2) + (kind == "ban")):
-            at = random.uniform(0.3, CHAOS - 0.5)
-            length = _round(random.uniform(0.3, HEAL - at), day.options)
+            at = random.uniform(0.3, FAULT_PERIOD - 0.5)
+            length = _round(random.uniform(0.3, FAULTS_END - at), base.options)
             faults.append(
                 Fault(
-                    kind, _round(at, day.options), length, random.randrange(1000), round(random.random(), 4)
+                    kind, _round(at, base.options), length, random.randrange(1000), round(random.random(), 4)
                 )
             )
-    options = replace(day.options, consoles=True)
-    return Scenario(seed, options, day.asks, tuple(sorted(faults, key=lambda f: f.at)))
+    options = replace(base.options, consoles=True)
+    return Scenario(seed, options, base.asks, tuple(sorted(faults, key=lambda f: f.at)))
 
 
-# ---- days with a view of the fleet ----
+# ---- views of the fleet ----
 
 
-def _with_view(random: Random, seed: str, day: Scenario) -> Scenario:
-    """The same day, with three to seven balancers, of which more are killed, stopped and restarted."""
+def _with_view(random: Random, seed: str, base: Scenario) -> Scenario:
+    """The same scenario with three to seven balancers, and more kills, restarts, stalls and partitions."""
     options = replace(
-        day.options, balancers=random.randint(3, 7), view=True, peer_loss=random.choice([0.0, 0.1, 0.3])
+        base.options, balancers=random.randint(3, 7), view=True, peer_loss=random.choice([0.0, 0.1, 0.3])
     )
-    # Each balancer may need a connection to each sender: with fewer some are refused for good, view or not.
+    # Each balancer may need a connection to each sender; with a smaller table some would always be refused.
     options = replace(options, sender_table=max(options.sender_table, options.balancers))
-    faults = list(day.faults)
+    faults = list(base.faults)
     for kind in ("kill-balancer", "restart-balancer", "stall", "cut-room"):
         for _ in range(random.randint(0, 2)):
-            at, low, high = random.uniform(0.5, CHAOS), *LENGTHS.get(kind, (0.2, 4.0))
-            length = min(random.uniform(low, high), HEAL - at)
+            at, low, high = random.uniform(0.5, FAULT_PERIOD), *LENGTHS.get(kind, (0.2, 4.0))
+            length = min(random.uniform(low, high), FAULTS_END - at)
             faults.append(
                 Fault(
                     kind,
@@ -506,27 +510,28 @@
                     round(random.random(), 4),
                 )
             )
-    return Scenario(seed, options, day.asks, tuple(sorted(faults, key=lambda f: f.at)))
+    return Scenario(seed, options, base.asks, tuple(sorted(faults, key=lambda f: f.at)))
 
 
-# ---- days with clinics ----
+# ---- clinics ----
 
 
-def _with_clinics(random: Random, seed: str, day: Scenario) -> Scenario:
-    """Part of the requests, or all where the senders speak MLLP, come from clinics instead."""
+def _with_clinics(random: Random, seed: str, base: Scenario) -> Scenario:
+    """Clinics send part of the requests, or all of them where the senders speak MLLP."""
     options = replace(
-        day.options,
+        base.options,
         clinics=random.randint(1, 4),
         mllp_senders=random.random() < 0.5,
         journal=random.random() < 0.6,
     )
-    faults = day.faults
+    faults = base.faults
     if options.journal:
         faults = tuple(sorted([*faults, *_disk_faults(random, options)], key=lambda f: f.at))
     else:
-        # Without a journal a restart goes by clocks: that they agree is told to the balancers.
+        # Without a journal, a restarted balancer relies on clocks that agree, as its configuration says.
+
         faults = tuple(f for f in faults if f.kind != "clock-step")
-    asks = tuple(_from_clinic(random, ask, options) for ask in day.asks)
+    asks = tuple(_from_clinic(random, ask, options) for ask in base.asks)
     return Scenario(seed, options, asks, faults)
 
 
@@ -534,7 +539,7 @@
     return [
         Fault(
             kind,
-            _round(rng.uniform(0.3, CHAOS - 1), options),
+            _round(rng.uniform(0.3, FAULT_PERIOD - 1), options),
             _round(rng.uniform(0.1, 1.5), options),
             rng.randrange(1000),
             round(rng.random(), 4),
@@ -547,14 +552,14 @@
 def _from_clinic(random: Random, ask: Ask, options: Options) -> Ask:
     if not options.mllp_senders and (KINDS[CLASSES[ask.klass]] == "safe" or random.random() < 0.4):
         return ask
-    chaos = ask.at < HEAL
+    during_faults = ask.at < FAULTS_END
     return replace(
         ask,
         clinic=random.randrange(options.clinics),
         mode=random.choice(list(MODES)),
         retries=2,
         deadline=round(min(ask.deadline, 1.5), 3),
-        half=chaos and random.random() < 0.05,
-        twin=chaos and random.random() < 0.08,
-        leaves=round(random.uniform(0.001, 0.3), 3) if chaos and random.random() < 0.15 else None,
+        half=during_faults and random.random() < 0.05,
+        twin=during_faults and random.random() < 0.08,
+        leaves=round(random.uniform(0.001, 0.3), 3) if during_faults and random.random() < 0.15 else None,
     )
--- a/dykeshift/sim/scene.py
+++ b/dykeshift/sim/scene.py
@@ -1,4 +1,4 @@
-"""What those on a day (balancers, senders, what reads the wire) know of it: a `Day` in day.py is one."""
+"""The interface of the simulation that its parts (balancers, senders, observers) use; see day.py."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from dykeshift.standins.sender import Rack, Sender
 
 
-class Scene(Protocol):
-    """A day, as its parts see it."""
+class SimulationContext(Protocol):
+    """The simulation, as its parts see it."""
 
     scenario: Scenario
     world: World
@@ -25,17 +25,17 @@
     racks: list[Rack]
     by_name: dict[str, Sender]
     discovery: tuple[str, int]
-    letters: dict[str, str]  # clinics' messages, by the module's names of them
-    rids: dict[str, str]  # the ids under which they went to HTTP senders
+    message_names: dict[str, str]  # control ids of clinics' messages, by the decision module's request ids
+    http_request_ids: dict[str, str]  # by control id: the request id that HTTP senders got
 
-    def list_later(self, delay: float, instance: Instance) -> None:
-        """Enter an instance at all discoveries, after `delay` seconds."""
+    def register_later(self, delay: float, instance: Instance) -> None:
+        """Register an instance with all discovery servers after `delay` seconds."""
 
-    def leave_later(self, delay: float, name: str, lifecycle: str) -> None:
-        """Change an instance's lifecycle at all discoveries, after `delay` seconds."""
+    def set_lifecycle_later(self, delay: float, name: str, lifecycle: str) -> None:
+        """Change an instance's lifecycle at all discovery servers after `delay` seconds."""
 
-    def inside(self, process: Process, call: Callable[..., Any], *args: Any) -> None:
-        """Call something in a process's loop, as of now."""
+    def call_in_process(self, process: Process, call: Callable[..., Any], *args: Any) -> None:
+        """Call something in a process's event loop, in its next iteration."""
 
     def excuse(self, balancer: str, sent: int, since: int, until: int) -> bool:
-        """Whether something else kept the balancer from answering; times in nanoseconds."""
+        """Whether a fault kept the balancer from answering; times in nanoseconds."""
--- a/dykeshift/sim/shrink.py
+++ b/dykeshift/sim/shrink.py
@@ -1,5 +1,7 @@
-"""The smallest scenario that still breaks the same rule: delta debugging (Zeller and Hildebrandt, 2002)
-over its faults, then over its requests, again until nothing more can go."""
+"""Finds a smaller scenario that breaks the same rule, by delta debugging (Zeller and Hildebrandt, 2002).
+
+Faults are removed first, then requests, repeatedly until nothing more can be removed.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +15,7 @@
 
 @dataclass(slots=True)
 class Shrunk:
-    """The smallest scenario found, the rule that it breaks, and how many days were played."""
+    """The smallest scenario found, the rule that it breaks, and the number of runs."""
 
     scenario: Scenario
     rule: str
@@ -26,7 +28,7 @@
 
 
 class Shrinker:
-    """Shrinks a scenario; `rule` is the one to keep broken, None: the first that breaks."""
+    """Shrinks a scenario; `rule` is the rule that must stay broken, None: the first one that breaks."""
 
     def __init__(
         self,
@@ -35,21 +37,21 @@
         budget: int,
         seen: Callable[[int, int, int], None] = lambda plays, faults, asks: None,
     ) -> None:
-        """At most `budget` days are played; `seen` is told how many were and what is left."""
+        """Run at most `budget` scenarios; `seen` is called with the numbers of runs, faults and requests."""
         self.best, self.rule, self.budget, self.seen = scenario, rule, budget, seen
         self.plays = 0
         self.text = ""
 
     def run(self) -> Shrunk:
-        """Shrink until nothing more can go or the budget is used. Raises NoViolationError."""
+        """Shrink until nothing more can be removed or the budget is used. Raises NoViolationError."""
         if not self._breaks(self.best):
             raise NoViolationError
-        self._drop_the_rest()
+        self._drop_after_breach()
         size = -1
         while size != len(self.best.faults) + len(self.best.asks) and self.plays < self.budget:
             size = len(self.best.faults) + len(self.best.asks)
-            self._thin(len(self.best.faults), lambda out: self.best.without(out, set()))
-            self._thin(len(self.best.asks), lambda out: self.best.without(set(), out))
+            self._reduce(len(self.best.faults), lambda removed: self.best.without(removed, set()))
+            self._reduce(len(self.best.asks), lambda removed: self.best.without(set(), removed))
         return Shrunk(self.best, self.rule or "", self.text, self.plays)
 
     def _breaks(self, scenario: Scenario) -> bool:
@@ -70,8 +72,8 @@
         self.seen(self.plays, len(scenario.faults), len(scenario.asks))
         return True
 
-    def _drop_the_rest(self) -> None:
-        """What came after the breach had no part in it."""
+    def _drop_after_breach(self) -> None:
+        """Remove faults and requests after the breach: they cannot have caused it."""
         at = self.at
         self._try(
             replace(
@@ -81,15 +83,16 @@
             )
         )
 
-    def _thin(self, count: int, make: Callable[[set[int]], Scenario]) -> None:
-        """Take out as much as possible of `count` parts: halves first, ever smaller pieces then."""
-        piece = max(1, count // 2)
-        while piece >= 1 and self.plays < self.budget:
+    def _reduce(self, count: int, build: Callable[[set[int]], Scenario]) -> None:
+        """Remove as many of `count` parts as possible: halves first, then ever smaller chunks."""
+
+        chunk = max(1, count // 2)
+        while chunk >= 1 and self.plays < self.budget:
             start = 0
             while start < count and self.plays < self.budget:
-                out = set(range(start, min(start + piece, count)))
-                if self._try(make(out)):
-                    count -= len(out)
+                removed = set(range(start, min(start + chunk, count)))
+                if self._try(build(removed)):
+                    count -= len(removed)
                 else:
-                    start += piece
-            piece = piece // 2 if piece > 1 else 0
+                    start += chunk
+            chunk = chunk // 2 if chunk > 1 else 0
--- a/dykeshift/sim/transport.py
+++ b/dykeshift/sim/transport.py
@@ -1,7 +1,7 @@
 """asyncio's transports over the virtual kernel's sockets: TCP, servers, UDP.
 
-The contract is asyncio's (`Transports and Protocols` in its documentation), in the manner of either loop:
-the standard library writes at once, uvloop at the end of a round unless the buffer limit is 0; both call
+The contract is asyncio's (`Transports and Protocols` in its documentation). The standard library's loop
+writes at once; uvloop writes at the end of an iteration unless the buffer limit is 0. Both call
 `connection_lost` exactly once and never from within the call that closes.
 """
 
@@ -11,40 +11,40 @@
 from collections.abc import Iterable
 from typing import Any, cast
 
-from dykeshift.sim.kernel import Rounds
+from dykeshift.sim.kernel import ProcessLoop
 from dykeshift.sim.net import Address, DatagramPort, Endpoint, Listener
 
-HIGH = 64 * 1024  # bytes unwritten from which a protocol is asked to pause, unless it says otherwise
+HIGH = 64 * 1024  # default high-water mark of the write buffer, in bytes
 
 
 class TcpTransport(asyncio.Transport):
-    """A TCP connection's transport."""
+    """The transport of a TCP connection."""
 
-    def __init__(self, loop: Rounds, endpoint: Endpoint, protocol: Any) -> None:
+    def __init__(self, loop: ProcessLoop, endpoint: Endpoint, protocol: Any) -> None:
         super().__init__({"peername": endpoint.peer.address, "sockname": endpoint.address})
         self.loop, self.endpoint, self.protocol = loop, endpoint, protocol
         self.buffer = bytearray()
         self.high, self.low = HIGH, HIGH // 4
-        self.paused = False  # the protocol has been asked to pause
+        self.paused = False  # `pause_writing` has been called
         self.reading = True
         self.closing = self.lost = False
         self.eof_wanted = self.eof_seen = False
-        self.begun = False
+        self.started = False
 
     def begin(self, waiter: asyncio.Future[Any] | None = None) -> None:
-        """Tell the protocol of the connection and begin to read; `waiter` hears of it."""
-        self.begun = True
+        """Call `connection_made` and start to read; then resolve `waiter`."""
+        self.started = True
         self.protocol.connection_made(self)
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
         self.endpoint.transport = self
         if self.endpoint.has_input():
-            self.loop.readable(self)
+            self.loop.mark_ready(self)
 
-    # ---- told by the kernel ----
+    # ---- events from the kernel ----
 
     def report(self) -> None:
-        """Input, an end, an error or room to write."""
+        """Handle input, a FIN, an error or room to write."""
         if self.lost or self.closing and not self.buffer:
             return
         if self.buffer:
@@ -57,10 +57,10 @@
         if endpoint.received:
             self.protocol.data_received(endpoint.read())
             if not self.closing and endpoint.has_input():
-                self.loop.readable(self)
+                self.loop.mark_ready(self)
         elif endpoint.error is not None:
-            self._lose(endpoint.error)
-        elif endpoint.ended and not self.eof_seen:
+            self._schedule_connection_lost(endpoint.error)
+        elif endpoint.fin_received and not self.eof_seen:
             self.eof_seen = True
             if not self.protocol.eof_received():
                 self.close()
@@ -71,7 +71,7 @@
 
     def hung_up(self) -> bool:
         """See `clock.Clock`."""
-        return self.endpoint.ended or self.endpoint.error is not None
+        return self.endpoint.fin_received or self.endpoint.error is not None
 
     # ---- writing ----
 
@@ -82,8 +82,8 @@
         if self.closing or self.lost or not data:
             return
         self.buffer += data
-        if self.loop.flavour.uvloop and self.high > 0:
-            self.loop.at_end_of_round(self)
+        if self.loop.platform.uvloop and self.high > 0:
+            self.loop.at_end_of_iteration(self)
         else:
             self.flush()
         if len(self.buffer) > self.high and not self.paused and not self.lost:
@@ -95,7 +95,7 @@
         self.write(b"".join(list_of_data))
 
     def flush(self) -> None:
-        """Hand as much as possible to the kernel."""
+        """Write as much as the kernel takes."""
         if self.lost:
             return
         while self.buffer:
@@ -106,23 +106,23 @@
         if self.endpoint.error is not None:
             self.buffer.clear()
             if self.closing:
-                self._lose(self.endpoint.error)
+                self._schedule_connection_lost(self.endpoint.error)
             return
         if self.paused and len(self.buffer) <= self.low:
             self.paused = False
             self.protocol.resume_writing()
         if not self.buffer:
             if self.eof_wanted:
-                self.endpoint.end()
+                self.endpoint.half_close()
             if self.closing:
-                self._lose(None)
+                self._schedule_connection_lost(None)
 
     def write_eof(self) -> None:
         """See `asyncio.WriteTransport`."""
         if not self.eof_wanted and not self.closing:
             self.eof_wanted = True
             if not self.buffer:
-                self.endpoint.end()
+                self.endpoint.half_close()
 
     def can_write_eof(self) -> bool:
         """See `asyncio.WriteTransport`."""
@@ -149,31 +149,31 @@
             return
         self.closing = True
         if not self.buffer:
-            self._lose(None)
-        elif not self.loop.flavour.uvloop or self.high == 0:
+            self._schedule_connection_lost(None)
+        elif not self.loop.platform.uvloop or self.high == 0:
             self.flush()
 
     def abort(self) -> None:
         """See `asyncio.WriteTransport`."""
         self.closing = True
         self.buffer.clear()
-        self._lose(None)
+        self._schedule_connection_lost(None)
 
-    def _lose(self, error: Exception | None) -> None:
+    def _schedule_connection_lost(self, error: Exception | None) -> None:
         if self.lost:
             return
         self.lost = self.closing = True
         self.buffer.clear()
-        self.loop.call_soon(self._gone, error)
+        self.loop.call_soon(self._report_lost, error)
 
-    def _gone(self, error: Exception | None) -> None:
+    def _report_lost(self, error: Exception | None) -> None:
         try:
-            if self.begun:
+            if self.started:
                 self.protocol.connection_lost(error)
         finally:
             self.endpoint.shut()
 
-    # ---- the rest of the contract ----
+    # ---- reading, and the protocol ----
 
     def pause_reading(self) -> None:
         """See `asyncio.ReadTransport`."""
@@ -183,7 +183,7 @@
         """See `asyncio.ReadTransport`."""
         self.reading = True
         if self.endpoint.has_input():
-            self.loop.readable(self)
+            self.loop.mark_ready(self)
 
     def is_reading(self) -> bool:
         """See `asyncio.ReadTransport`."""
@@ -199,17 +199,17 @@
 
 
 class VirtualServer(asyncio.AbstractServer):
-    """What `create_server` gives."""
+    """The server that `create_server` returns."""
 
-    def __init__(self, loop: Rounds, listener: Listener, factory: Any) -> None:
+    def __init__(self, loop: ProcessLoop, listener: Listener, factory: Any) -> None:
         self.loop, self.listener, self.factory = loop, listener, factory
         listener.accept = self._accept
         if listener.waiting:
-            loop.readable(listener)
+            loop.mark_ready(listener)
 
     def _accept(self, endpoint: Endpoint) -> None:
-        made = TcpTransport(self.loop, endpoint, self.factory())
-        made.begin()
+        accepted = TcpTransport(self.loop, endpoint, self.factory())
+        accepted.begin()
 
     def close(self) -> None:
         """See `asyncio.AbstractServer`."""
@@ -220,7 +220,7 @@
         self.close()
 
     def pending(self) -> bool:
-        """See `engine.listener.Listening`: here a connection is handed over as it is accepted."""
+        """See `engine.listener.Listening`: always false, connections are handed over as they are accepted."""
         return False
 
     def is_serving(self) -> bool:
@@ -232,27 +232,28 @@
         return cast(asyncio.AbstractEventLoop, self.loop)
 
     async def start_serving(self) -> None:
-        """It serves from its making on."""
+        """See `asyncio.AbstractServer`; it serves from its creation on."""
 
     async def serve_forever(self) -> None:
         """See `asyncio.AbstractServer`."""
         await self.loop.create_future()
 
     async def wait_closed(self) -> None:
-        """Closed as soon as it is asked to."""
+        """See `asyncio.AbstractServer`; `close` takes effect at once."""
 
 
 class UdpTransport(asyncio.DatagramTransport):
-    """A datagram port's transport."""
+    """The transport of a UDP socket."""
 
-    def __init__(self, loop: Rounds, port: DatagramPort, protocol: Any, remote: Address | None) -> None:
+    def __init__(self, loop: ProcessLoop, port: DatagramPort, protocol: Any, remote: Address | None) -> None:
         super().__init__({"sockname": port.address, "peername": remote})
         self.loop, self.port, self.protocol, self.remote = loop, port, protocol, remote
         self.closed = False
         port.transport = self
 
     def report(self) -> None:
-        """Hand what has arrived to the protocol."""
+        """Hand received datagrams to the protocol."""
+
         while self.port.queue and not self.closed:
             self.protocol.datagram_received(*self.port.queue.popleft())
 
--- a/dykeshift/sim/views.py
+++ b/dykeshift/sim/views.py
@@ -1,4 +1,4 @@
-"""The balancers' views of one another, held against who runs: after every step, and when all is well."""
+"""Checks the balancers' views of the fleet against the running processes, after each event and at the end."""
 
 from __future__ import annotations
 
@@ -7,43 +7,43 @@
 from dykeshift.sim.installation import Node
 from dykeshift.sim.kernel import SECOND, World
 
-LAG = 5 * SECOND  # until a loss is known to all in reach: 25 periods
+DETECTION_LIMIT = 5 * SECOND  # 25 periods; by then a loss is known to every balancer that is reachable
 
 
 class Views:
-    """Checks every balancer's bounds after each event; `breach` takes what is wrong."""
+    """Checks every balancer's bounds on the fleet's size after each event; `breach` is called with errors."""
 
     def __init__(self, nodes: list[Node], world: World, breach: Callable[[str], None]) -> None:
         self.nodes, self.world, self.breach = nodes, world, breach
-        self.ran: dict[str, int] = {}  # by name: when it was last seen running
-        self.said = False
+        self.last_running: dict[str, int] = {}  # by name: when it was last running
+        self.reported = False
         world.watchers.append(self.step)
 
     def step(self, now: int) -> None:
-        """Check all views as of now."""
+        """Check all views at time `now`."""
         running = [n for n in self.nodes if n.process is not None and n.process.alive]
         for node in running:
-            self.ran[node.name] = now
+            self.last_running[node.name] = now
         views = [(node, view) for node in running if (view := node.view()) is not None]
         holding = sum(view.standing.holds and not self._stalled(node, now) for node, view in views)
-        lately = sum(now - at <= LAG for at in self.ran.values())
+        recent = sum(now - at <= DETECTION_LIMIT for at in self.last_running.values())
         for node, view in views:
             if view.standing.at_most < holding:
-                self._say(f"{node.name} says at most {view.standing.at_most}, {holding} hold the lease")
-            if view.standing.at_least > lately:
-                self._say(f"{node.name} says at least {view.standing.at_least}, {lately} ran lately")
+                self._report(f"{node.name} says at most {view.standing.at_most}, {holding} hold the lease")
+            if view.standing.at_least > recent:
+                self._report(f"{node.name} says at least {view.standing.at_least}, {recent} ran lately")
 
     @staticmethod
     def _stalled(node: Node, now: int) -> bool:
         return any(begin <= now <= end for begin, end in node.stalls)
 
-    def _say(self, text: str) -> None:
-        if not self.said:  # once a day: the next steps only repeat it
-            self.said = True
+    def _report(self, text: str) -> None:
+        if not self.reported:  # once per run: later events would only repeat it
+            self.reported = True
             self.breach(text)
 
     def check_settled(self) -> None:
-        """All has been well for many periods: one view of all."""
+        """Check, after many periods without faults, that all balancers have settled on the same view."""
         views = [(node, node.view()) for node in self.nodes]
         for node, view in views:
             if view is None:
--- a/tests/sim/defect.py
+++ b/tests/sim/defect.py
@@ -1,4 +1,4 @@
-"""A seeded defect: what it changes, and which rules must be found broken with it."""
+"""A seeded defect (mutant): what it patches, and the rules that the checker must then find broken."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 class Mutant:
     name: str
     where: str
-    rules: tuple[str, ...]  # one of these must be found broken
+    rules: tuple[str, ...]  # at least one of these must be found broken
     patches: Callable[[], list[Patch]]
-    days: str = ""  # behind each seed's number: the kind of days on which it is hunted
+    seed_suffix: str = ""  # appended to each seed: the kind of scenario that exposes the defect
 
     @contextmanager
     def applied(self) -> Iterator[None]:
--- a/tests/sim/mllp_mutants.py
+++ b/tests/sim/mllp_mutants.py
@@ -1,4 +1,4 @@
-"""Seeded defects of MLLP's core, front, journal and carrier."""
+"""Seeded defects of MLLP: memory, session, front, journal and carrier."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from dykeshift.sim.scenario import WITH_MLLP
 from tests.sim.defect import Mutant, Patch
 
-AGAIN = (referee.EFFECT_TWICE, referee.UNSAFE_AGAIN, referee.SENT_AFTER, referee.KEYED_ASTRAY)
+REPEATED = (referee.EFFECT_TWICE, referee.UNSAFE_AGAIN, referee.SENT_AFTER, referee.KEYED_ASTRAY)
 
 
 def _forget_answers() -> list[Patch]:
@@ -27,7 +27,7 @@
     return [(journal.Journal, "sent", sent)]
 
 
-def _no_horizon() -> list[Patch]:
+def _ignore_lost_memory() -> list[Patch]:
     def init(self: memory.Memory[Any], now: int, bounds: Any, complete: bool = False) -> None:
         original(self, now, bounds, True)
 
@@ -70,7 +70,7 @@
     return [(session.Session, "answer", answer)]
 
 
-def _trust_out_of_step() -> list[Patch]:
+def _reuse_out_of_step() -> list[Patch]:
     def hear(self: carrier.Dialogue, content: bytes) -> Any:
         ack = replace(acks.parse(content), control_id=self.control_id)
         return carrier.MllpAnswer(ack, content.replace(acks.parse(content).control_id, self.control_id))
@@ -91,11 +91,11 @@
     ]
 
 
-def _error_proves() -> list[Patch]:
+def _ae_as_not_run() -> list[Patch]:
     return [(carrier, "_OUTCOMES", {**carrier._OUTCOMES, acks.Code.AE: Outcome.FULL})]
 
 
-def _forget_waiters() -> list[Patch]:
+def _answer_first_waiter_only() -> list[Patch]:
     def answer(self: memory.Memory[Any], now: int, identity: Any, content: bytes) -> Any:
         return original(self, now, identity, content)[:1]
 
@@ -103,7 +103,7 @@
     return [(memory.Memory, "answer", answer)]
 
 
-def _hang_up_on_drain() -> list[Patch]:
+def _abort_on_drain() -> list[Patch]:
     def drain(self: front.MllpFront) -> None:
         for line in list(self.lines):
             line.abort()
@@ -111,7 +111,7 @@
     return [(front.MllpFront, "drain", drain)]
 
 
-def _accepted_is_done() -> list[Patch]:
+def _accept_ack_as_final() -> list[Patch]:
     def init(self: carrier.Dialogue, content: bytes) -> None:
         original(self, content)
         self.awaits_application = self.awaits_application and not self.accepts
@@ -120,7 +120,7 @@
     return [(carrier.Dialogue, "__init__", init)]
 
 
-def _wait_for_the_disk() -> list[Patch]:
+def _wait_for_disk() -> list[Patch]:
     def answered(
         self: journal.Journal, identity: Any, made: Any, answer: bytes, then: Any = None, within: float = 0.0
     ) -> None:
@@ -130,11 +130,11 @@
     return [(journal.Journal, "answered", answered)]
 
 
-def _stay_failed() -> list[Patch]:
+def _no_journal_recovery() -> list[Patch]:
     return [(journal.Journal, "_recover", lambda self: None)]
 
 
-def _from_reading() -> list[Patch]:
+def _arrival_time_when_read() -> list[Patch]:
     def received(self: front.Line, data: bytes) -> None:
         if not self.closing and self.transport is not None:
             self._handle(self.session.receive(self.front.clock.monotonic_ns(), data))
@@ -145,9 +145,9 @@
 MLLP_MUTANTS = [
     Mutant(name, where, rules, patches, WITH_MLLP)
     for name, where, rules, patches in (
-        ("forgets what it answered", "mllp/memory", AGAIN, _forget_answers),
-        ("sends what the journal does not have", "mllp/journal", AGAIN, _send_unjournalled),
-        ("takes a start without a journal for a first one", "mllp/memory", AGAIN, _no_horizon),
+        ("forgets what it answered", "mllp/memory", REPEATED, _forget_answers),
+        ("sends what the journal does not have", "mllp/journal", REPEATED, _send_unjournalled),
+        ("takes a start without a journal for a first one", "mllp/memory", REPEATED, _ignore_lost_memory),
         ("rejects what failed", "mllp/front", (referee.REFUSED_RUN,), _reject_failures),
         ("answers a frame twice", "mllp/front", (referee.TWICE_ANSWERED,), _answer_frames_twice),
         (
@@ -160,24 +160,29 @@
             "trusts a connection that answered out of step",
             "mllp/carrier",
             (referee.WRONG_ANSWER,),
-            _trust_out_of_step,
+            _reuse_out_of_step,
         ),
         (
             "takes an AE for a proof",
             "mllp/carrier",
             (referee.UNSAFE_AGAIN, referee.REFUSED_RUN),
-            _error_proves,
+            _ae_as_not_run,
         ),
-        ("answers only the first who waits", "mllp/memory", (referee.LOST,), _forget_waiters),
-        ("hangs up on a drain", "mllp/front", (referee.LOST,), _hang_up_on_drain),
+        ("answers only the first who waits", "mllp/memory", (referee.LOST,), _answer_first_waiter_only),
+        ("hangs up on a drain", "mllp/front", (referee.LOST,), _abort_on_drain),
         (
             "takes acceptance for the end",
             "mllp/carrier",
             (referee.WRONG_ANSWER, referee.TWICE_ANSWERED),
-            _accepted_is_done,
+            _accept_ack_as_final,
         ),
-        ("lets an answer wait for the disk", "mllp/journal", (referee.LOST,), _wait_for_the_disk),
-        ("never begins a failed journal anew", "mllp/journal", (referee.DEAF,), _stay_failed),
-        ("counts a message's time from its reading", "mllp/front", (referee.LOST,), _from_reading),
+        ("lets an answer wait for the disk", "mllp/journal", (referee.LOST,), _wait_for_disk),
+        (
+            "never begins a failed journal anew",
+            "mllp/journal",
+            (referee.NOT_SERVED_AGAIN,),
+            _no_journal_recovery,
+        ),
+        ("counts a message's time from its reading", "mllp/front", (referee.LOST,), _arrival_time_when_read),
     )
 ]
