--- a/dykeshift/sim/day.py
+++ b/dykeshift/sim/day.py
@@ -1,7 +1,7 @@
 """One simulation run: real balancers, stand-ins and faults, built from a scenario and run to its end.
 
 The balancers run the program's own `serve`, unchanged, on a simulated event loop, clock and network. What is
-observed of them goes to the referee: bytes on their connections, what clients and senders saw, and the
+observed of them goes to the checker: bytes on their connections, what clients and senders saw, and the
 actions of the decision module (recorded where `serve` hands out its parts), for the one rule that cannot be
 checked from outside.
 """
@@ -88,7 +88,7 @@
         self.world.tracing = tracing
         self.rng: Random = self.world.stream("day")
         self.net = Network(self.world, NetworkConditions())
-        self.referee = Referee(
+        self.checker = Referee(
             Terms(window=int(options.window * SECOND)),
             self.excuse,
             self.was_partitioned,
@@ -115,7 +115,7 @@
         self.nodes = [Node(self, n) for n in range(options.balancers)]
         self.by_address = {node.address: node for node in self.nodes}
         self.by_host = {node.host.name: node for node in self.nodes}
-        self.world.watchers.append(self.referee.step)
+        self.world.watchers.append(self.checker.step)
         self.net.conditions.udp_loss = options.peer_loss
         self.views = Views(self.nodes, self.world, self._view_breach) if options.view else None
         self._start_clients()
@@ -124,7 +124,7 @@
         self.reach = DiscoveryReachability(self)
 
     def _view_breach(self, text: str) -> None:
-        self.referee.breach(rules.VIEW, self.world.now, text)
+        self.checker.breach(rules.VIEW, self.world.now, text)
 
     # ---- discovery ----
 
@@ -148,7 +148,7 @@
             if sender.down and instance.lifecycle != "left":
                 return
             self.listing[instance.id] = instance
-            self.referee.shown(self.world.now, instance.id, instance.lifecycle == "active")
+            self.checker.shown(self.world.now, instance.id, instance.lifecycle == "active")
             for address, registry in self.registries.items():
                 self.call_in_process(self.registry_processes[address], registry.put, instance)
 
@@ -168,7 +168,7 @@
                 return
             if lifecycle == "left":
                 del self.listing[name]
-            self.referee.shown(self.world.now, name, False)
+            self.checker.shown(self.world.now, name, False)
             for address, registry in self.registries.items():
                 self.call_in_process(self.registry_processes[address], registry.leave, name, lifecycle)
 
@@ -286,7 +286,7 @@
             f"{letter.note.mode}) to {node.name}"
         )
         now = self._client_now()
-        self.referee.framed(
+        self.checker.framed(
             now, name, number, KINDS[letter.note.klass], node.name, now + int(letter.patience * SECOND), ahead
         )
 
@@ -296,21 +296,21 @@
         self.world.trace(f"{name}/{number} has {code}")
         if last:
             certain = not (self.scenario.options.mllp_senders and letter.note.mode == "accept")
-            self.referee.acknowledged(self._client_now(), name, number, code, certain)
+            self.checker.acknowledged(self._client_now(), name, number, code, certain)
 
     def cut_off(self, letter: Letter, number: int, to: tuple[str, int]) -> None:
         """See `standins.clinic.Account`."""
         self.world.trace(f"{letter.note.control_id}/{number} is cut off")
-        self.referee.cut_off(self._client_now(), letter.note.control_id, number)
+        self.checker.cut_off(self._client_now(), letter.note.control_id, number)
 
     def unheard(self, letter: Letter, number: int, to: tuple[str, int]) -> None:
         """See `standins.clinic.Account`."""
         self.world.trace(f"{letter.note.control_id}/{number} is not listened for any more")
-        self.referee.unheard(self._client_now(), letter.note.control_id, number)
+        self.checker.unheard(self._client_now(), letter.note.control_id, number)
 
     def stray(self, to: tuple[str, int], data: bytes) -> None:
         """See `standins.clinic.Account`."""
-        self.referee.extra(self._client_now(), self.by_host[to[0]].name, data)
+        self.checker.extra(self._client_now(), self.by_host[to[0]].name, data)
 
     def _client_now(self) -> int:
         return self.world.now + self.clients.loop.round_elapsed
@@ -322,7 +322,7 @@
         now = self._client_now()
         patience = f"{errand.kind}, {errand.deadline * 1000:.0f} ms"
         self.world.trace(f"{rid} ({patience}) to {self.by_address[to].name}")
-        self.referee.asked(
+        self.checker.asked(
             now, rid, errand.name, errand.kind, self.by_address[to].name, now + int(errand.deadline * SECOND)
         )
 
@@ -334,10 +334,10 @@
             begin <= self._client_now() and end >= self._client_now() - SECOND
             for begin, end in node.settings_changes
         ):
-            self.referee.breach(
+            self.checker.breach(
                 rules.REJECTED, self._client_now(), f"{node.name} rejects {rid} ({errand.klass})"
             )
-        self.referee.answered(self._client_now(), rid, answer.status, answer.body.decode("latin-1"))
+        self.checker.answered(self._client_now(), rid, answer.status, answer.body.decode("latin-1"))
 
     def broken(self, errand: Errand, rid: str, to: tuple[str, int], begun: bool) -> None:
         """See `standins.client.Account`."""
@@ -346,16 +346,16 @@
             observer.rid == rid and endpoint.error is not None
             for endpoint, observer in self.observers.items()
         )
-        self.referee.broken(self._client_now(), rid, again=False, spoilt=spoilt)
+        self.checker.broken(self._client_now(), rid, again=False, spoilt=spoilt)
 
     def left(self, errand: Errand, rid: str, to: tuple[str, int]) -> None:
         """See `standins.client.Account`."""
         self.world.trace(f"{rid} is left by its client")
-        self.referee.gone(self._client_now(), rid)
+        self.checker.gone(self._client_now(), rid)
 
     def extra(self, to: tuple[str, int], data: bytes) -> None:
         """See `standins.client.Account`."""
-        self.referee.extra(self._client_now(), self.by_address[to].name, data)
+        self.checker.extra(self._client_now(), self.by_address[to].name, data)
 
     # What senders report (standins.sender.Witness).
 
@@ -368,7 +368,7 @@
 
     def ran(self, sender: Sender, request: Message, repeat: bool) -> None:
         """See `standins.sender.Witness`."""
-        self.referee.ran(
+        self.checker.ran(
             self.world.now, request.headers["x-request-id"], request.query("errand"), sender.name, repeat
         )
 
@@ -379,7 +379,7 @@
     def fell(self, sender: Sender) -> None:
         """See `standins.sender.Witness`."""
         self.world.trace(f"{sender.name} falls over")
-        self.referee.fell(self.world.now, sender.name)
+        self.checker.fell(self.world.now, sender.name)
 
     # ---- network traffic ----
 
@@ -450,7 +450,7 @@
         try:
             self._play(stop_at_first)
         except LivelockError as exc:
-            self.referee.breach(rules.FAULT, self.world.now, str(exc))
+            self.checker.breach(rules.FAULT, self.world.now, str(exc))
         finally:
             logger.removeHandler(handler)
             logger.setLevel(before[0])
@@ -458,24 +458,24 @@
             for process in self.world.processes:
                 process.on_exit = None
                 process.exit(-9)
-        referee = self.referee
+        checker = self.checker
         return Result(
             self.scenario.seed,
-            referee.breaches,
+            checker.breaches,
             self.world.digest(),
             self.world.steps,
             (self.world.now - EPOCH) / SECOND,
             {
-                "served": referee.served,
-                "refused": referee.refused,
-                "failed": referee.failed,
-                "requests": len(referee.entries),
-                "attempts": sum(len(e.attempt_log) for e in referee.entries.values()),
+                "served": checker.served,
+                "refused": checker.refused,
+                "failed": checker.failed,
+                "requests": len(checker.entries),
+                "attempts": sum(len(e.attempt_log) for e in checker.entries.values()),
             },
         )
 
     def _play(self, stop_at_first: bool) -> None:
-        stop = (lambda: bool(self.referee.breaches)) if stop_at_first else None
+        stop = (lambda: bool(self.checker.breaches)) if stop_at_first else None
         known = next(iter(self.registries.values())).whole()
         for node in self.nodes:
             node.start(known)
@@ -485,7 +485,7 @@
             FAULTS_END + RECOVERY + PROBE_PERIOD + max(LONGEST_DEADLINE, self.scenario.options.longest) + 0.5
         )
         self.world.run(EPOCH + int(end * SECOND), stop)
-        if stop_at_first and self.referee.breaches:
+        if stop_at_first and self.checker.breaches:
             return
         self._check_service()
         self.call_in_process(self.clients, self.crowd.hang_up)
@@ -512,12 +512,12 @@
         served = sum(self.outcome[n] == "done 200" for n in last)
         asked = sum(a.at >= FAULTS_END for a in self.scenario.asks)
         cold = sum(
-            p.sender is None or p.sender.warmth() < 1 or p.name() in self.referee.unbanned for p in self.sites
+            p.sender is None or p.sender.warmth() < 1 or p.name() in self.checker.unbanned for p in self.sites
         )
         if 2 * cold >= len(self.sites) or 2 * self.overloaded_senders >= len(self.sites):
             return  # too many senders are cold or still busy: the probe requests cannot all be served
         if asked and served < MIN_SERVED_SHARE * asked:
-            self.referee.breach(
+            self.checker.breach(
                 rules.NOT_SERVED_AGAIN,
                 self.world.now,
                 f"{served} of {asked} requests are served {RECOVERY:.0f} s after the last " "fault",
@@ -527,16 +527,16 @@
         for node in self.nodes:
             process = node.process
             if process is None or not process.alive:
-                self.referee.breach(rules.FAULT, self.world.now, f"{node.name} does not run in the end")
+                self.checker.breach(rules.FAULT, self.world.now, f"{node.name} is not running at the end")
                 continue
             for fault in process.loop.uncaught_errors:
-                self.referee.breach(rules.FAULT, self.world.now, f"{process.name}: {fault}")
+                self.checker.breach(rules.FAULT, self.world.now, f"{process.name}: {fault}")
             silent = (self.world.now - node.last_discovery_request) / SECOND
             if silent > ASK_EVERY:
-                self.referee.breach(
+                self.checker.breach(
                     rules.NOT_SERVED_AGAIN,
                     self.world.now,
-                    f"{process.name} has not asked discovery for {silent:.1f} s",
+                    f"{process.name} has sent discovery no request for {silent:.1f} s",
                 )
             found = self._count(node, process)
             bad = [
@@ -557,8 +557,8 @@
                 if found[what] > most or found[what] < 0
             ]
             if bad:
-                self.referee.breach(
-                    rules.LEAK, self.world.now, f"{process.name} is quiet and has {', '.join(bad)}"
+                self.checker.breach(
+                    rules.LEAK, self.world.now, f"{process.name} is idle and still has {', '.join(bad)}"
                 )
 
     @staticmethod
@@ -592,13 +592,13 @@
         self.simulation.world.trace(f"log: {text}")
         if record.exc_info and record.exc_info[1] is not None:
             error = record.exc_info[1]
-            self.simulation.referee.breach(
+            self.simulation.checker.breach(
                 rules.FAULT, self.simulation.world.now, f"{text}: {type(error).__name__}: {error}"
             )
         elif self._too_late(record) and self._recently_stalled():
             pass  # a stalled balancer could not have answered sooner
         elif record.levelno >= logging.ERROR and "configuration" not in text:
-            self.simulation.referee.breach(rules.FAULT, self.simulation.world.now, text)
+            self.simulation.checker.breach(rules.FAULT, self.simulation.world.now, text)
 
     @staticmethod
     def _too_late(record: logging.LogRecord) -> bool:
--- a/dykeshift/sim/faults.py
+++ b/dykeshift/sim/faults.py
@@ -105,8 +105,8 @@
 
     def _reset_mood(self, site: SenderSite) -> None:
         default = Mood()
-        for one in fields(default):
-            setattr(site.mood, one.name, getattr(default, one.name))
+        for field in fields(default):
+            setattr(site.mood, field.name, getattr(default, field.name))
         if site.sender is not None and site.process is not None:
             self.simulation.call_in_process(site.process, site.sender.wake)
 
@@ -129,10 +129,10 @@
     def _old_list(self, stale: float) -> Any:
         """An outdated list of servers; in a share `stale` of its rows the address has a new owner since."""
         simulation = self.simulation
-        whole = simulation.registries[simulation.discovery].whole()
-        rows = whole["instances"]
+        full_list = simulation.registries[simulation.discovery].whole()
+        rows = full_list["instances"]
         if stale < 0.4 or not rows:
-            return whole
+            return full_list
         rotated = rows[1:] + rows[:1]
         old = [
             dict(row, instanceId=f"old-{n}", hostPort=other["hostPort"])
@@ -140,7 +140,7 @@
         ]
         keep = int(len(rows) * (1 - stale))
         return {
-            "generation": max(1, whole["generation"] - 50),
+            "generation": max(1, full_list["generation"] - 50),
             "reset": True,
             "instances": rows[:keep] + old[keep:],
         }
@@ -339,25 +339,25 @@
     def _cut_answer(self, fault: Fault) -> None:
         self._cut("10.0.", fault)
 
-    def _cut(self, towards: str, fault: Fault) -> None:
+    def _cut(self, target: str, fault: Fault) -> None:
         rng = self.world.stream(f"cut/{fault.kind}/{fault.at}/{fault.which}")
-        self.stream_cuts.append((towards, self.world.now + int(fault.length * SECOND), rng))
+        self.stream_cuts.append((target, self.world.now + int(fault.length * SECOND), rng))
         self.net.reset_injector = self._reset_position
 
     def _reset_position(self, endpoint: Endpoint, data: bytes) -> int | None:
         """Draw the byte position of a reset in this write; the first and the last ones are more likely."""
         between = endpoint.host.name[:5], endpoint.peer.host.name[:5]
-        for towards, until, random in self.stream_cuts:
-            away = "10.0." if towards == "10.1." else "10.1."
-            if between == (away, towards) and self.world.now < until and random.random() < 0.3:
-                way = random.random()
+        for target, until, random in self.stream_cuts:
+            source = "10.0." if target == "10.1." else "10.1."
+            if between == (source, target) and self.world.now < until and random.random() < 0.3:
+                choice = random.random()
                 at = (
                     0
-                    if way < 0.15
+                    if choice < 0.15
                     else len(data)
-                    if way < 0.4
+                    if choice < 0.4
                     else len(data) - 1
-                    if way < 0.5
+                    if choice < 0.5
                     else int(random.random() * len(data))
                 )
                 return int(at)
--- a/dykeshift/sim/installation.py
+++ b/dykeshift/sim/installation.py
@@ -244,7 +244,7 @@
         process.on_exit = self._on_exit
         self.services = []
         simulation.net.attach(process)
-        simulation.referee.reborn(self.name)
+        simulation.checker.reborn(self.name)
         self.instance_at = {row["hostPort"]: row["instanceId"] for row in known["instances"]}
         self.told_by_discovery = False
         process.loop.start(
@@ -280,18 +280,18 @@
         for action in actions:
             if isinstance(action, Refuse | Fail):
                 name = self.simulation.message_names.get(action.request_id, action.request_id)
-                self.simulation.referee.gave_up(self.simulation.world.now, name)
+                self.simulation.checker.gave_up(self.simulation.world.now, name)
 
     def _on_exit(self, process: Process) -> None:
         assert self.process is process
         for fault in self.process.loop.uncaught_errors:
-            self.simulation.referee.breach(rules.FAULT, self.simulation.world.now, f"{process.name}: {fault}")
+            self.simulation.checker.breach(rules.FAULT, self.simulation.world.now, f"{process.name}: {fault}")
         if process.exit_code != -9:
             if not process.terminated:
-                self.simulation.referee.breach(
+                self.simulation.checker.breach(
                     rules.FAULT,
                     self.simulation.world.now,
-                    f"{process.name} ended by itself with {process.exit_code}",
+                    f"{process.name} exited by itself with {process.exit_code}",
                 )
             self.exits.append((self.simulation.world.now, False))
 
--- a/dykeshift/sim/kernel.py
+++ b/dykeshift/sim/kernel.py
@@ -117,7 +117,7 @@
         return self._hash.hexdigest()
 
     def run(self, until: int, stop: Callable[[], bool] | None = None) -> None:
-        """Run all events up to and at `until`, each followed by the watchers, unless `stop` returns true."""
+        """Run the events up to and at `until`, with the watchers after each; ends early if `stop()`."""
         instant, events_at_instant = -1, 0
         while self.heap and self.heap[0][0] <= until:
             when, _, _, event = heapq.heappop(self.heap)
@@ -164,7 +164,7 @@
     def mark_ready(self, socket: Any) -> None:
         """Schedule the `report` of a socket or transport in the next iteration."""
 
-    def at_end_of_iteration(self, one: Any) -> None:
+    def at_end_of_iteration(self, item: Any) -> None:
         """Have a transport flush its buffer at the end of this iteration."""
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> asyncio.Handle:
--- a/dykeshift/sim/loop.py
+++ b/dykeshift/sim/loop.py
@@ -118,40 +118,40 @@
             due = self._interleave(due, sockets)
         else:
             due += sockets
-        for one in due:
-            self._run_callback(one)
+        for item in due:
+            self._run_callback(item)
         for _ in range(ready_count if self.platform.uvloop else len(self._ready)):
             if not self._ready:
                 break
             self._run_callback(self._ready.popleft())
         while self._unflushed and self.process.alive:
             unflushed, self._unflushed = list(self._unflushed), {}
-            for one in unflushed:
-                one.flush()
+            for item in unflushed:
+                item.flush()
 
     def _interleave(self, timers: list[Any], sockets: list[Any]) -> list[Any]:
         """Draw the order of ready callbacks; only the order of the timers among themselves is kept."""
         sockets.sort(key=lambda _: self._draw())
-        way = self._draw()
-        if way < 0.4:
+        choice = self._draw()
+        if choice < 0.4:
             return timers + sockets
-        if way < 0.8:
+        if choice < 0.8:
             return sockets + timers
         mixed = list[Any]()
         while timers and sockets:
             mixed.append((timers if self._draw() < 0.5 else sockets).pop(0))
         return mixed + timers + sockets
 
-    def _run_callback(self, one: Any) -> None:
+    def _run_callback(self, item: Any) -> None:
         if not self.process.alive:
             return
-        if isinstance(one, asyncio.Handle):
-            if one.cancelled():
+        if isinstance(item, asyncio.Handle):
+            if item.cancelled():
                 return
-            one._run()
+            item._run()
         else:
             try:
-                one.report()
+                item.report()
             except Exception as exc:
                 self.call_exception_handler({"message": "in a transport's callback", "exception": exc})
         self.round_elapsed += self.process.callback_cost
@@ -168,9 +168,9 @@
             self._io[socket] = None
             self.wake()
 
-    def at_end_of_iteration(self, one: Any) -> None:
+    def at_end_of_iteration(self, item: Any) -> None:
         """See `kernel.ProcessLoop`."""
-        self._unflushed[one] = None
+        self._unflushed[item] = None
         self.wake()
 
     # ---- the program ----
--- a/dykeshift/sim/operators.py
+++ b/dykeshift/sim/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: they call the balancers' consoles and report the answers to the referee."""
+"""Simulated operators: they call the balancers' consoles and report the answers to the checker."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         def on_no_answer() -> None:
             began = self.simulation.world.now - SECOND
             if not self.simulation.excuse(self.node.name, began, began, self.simulation.world.now):
-                self.simulation.referee.breach(
+                self.simulation.checker.breach(
                     rules.CONSOLE,
                     self.simulation.world.now,
                     f"{self.node.name} does not answer {path} in time",
@@ -68,14 +68,14 @@
 
         def done(status: int, text: str) -> None:
             if status == 200 and self.banned_in.get(name) == at_call:
-                self.simulation.referee.ban_confirmed(self.simulation.world.now, self.node.name, name)
+                self.simulation.checker.ban_confirmed(self.simulation.world.now, self.node.name, name)
 
         self._call("PUT", "/maintenance/enter", name, done, lambda: self.banned_in.get(name) == at_call)
 
     def exit(self, name: str) -> None:
         """Lift the ban."""
         if self.banned_in.pop(name, None) is not None:
-            self.simulation.referee.ban_lifted(self.node.name, name)
+            self.simulation.checker.ban_lifted(self.node.name, name)
             self._call(
                 "PUT", "/maintenance/exit", name, lambda _, __: None, lambda: name not in self.banned_in
             )
@@ -112,7 +112,7 @@
         recent = node.front.loop.time() - 0.5  # readiness probes open new connections all the time
         idle = [client for client in node.front.clients if client.between() and client.since < recent]
         if idle and not self.simulation.excuse(node.name, now - SECOND, now - SECOND, now):
-            self.simulation.referee.breach(
+            self.simulation.checker.breach(
                 rules.DRAINED, now, f"{node.name} holds {len(idle)} idle connections"
             )
 
@@ -122,12 +122,12 @@
             self.simulation.world.after(int(READ_EVERY * SECOND), self.read)
         if self.node.process is None or not self.node.process.alive:
             return
-        before = dict(self.simulation.referee.counts[self.node.name])
+        before = dict(self.simulation.checker.counts[self.node.name])
         asked = self.simulation.world.now
 
         def done(status: int, text: str) -> None:
             if status == 200 and self.simulation.world.now - asked < SECOND:
-                self.simulation.referee.figures(
+                self.simulation.checker.figures(
                     self.simulation.world.now, self.node.name, _counts(json.loads(text)), before
                 )
 
--- a/dykeshift/sim/referee.py
+++ b/dykeshift/sim/referee.py
@@ -1,6 +1,6 @@
 """The checker: checks the rules from outside, by what clients, senders, discovery and the network observed.
 
-Theory of operation. The referee receives observations with their time in nanoseconds. For each request id it
+Theory of operation. The checker receives observations with their time in nanoseconds. For each request id it
 keeps the attempts that were written completely to a sender, and which of them were proved not to have run by
 an answer that had arrived back. Each method checks at once the rules that its observation can break; `step`
 checks the rules that are broken by the passing of time alone. A broken rule is a `Breach`: the rule's name,
@@ -188,9 +188,8 @@
             reached,
             unseen,
         )
-        self.withdrawn_since: dict[
-            str, int
-        ] = {}  # instance: since when discovery lists it as draining or gone
+        # By instance: since when discovery lists it as draining or gone.
+        self.withdrawn_since: dict[str, int] = {}
         self.breaches: list[Breach] = []
         self.entries: dict[str, RequestRecord] = {}
         self.frames: dict[tuple[str, int], Frame] = {}  # by message and transmission number
@@ -238,7 +237,7 @@
             self.breach(TWICE_ANSWERED, now, f"{rid} has a second answer")
         late = now - entry.deadline - self.terms.answer_slack
         if late > 0 and not self.excuse(entry.balancer, entry.sent, entry.deadline, now):
-            self.breach(LOST, now, f"{rid} is answered {late / MS:.1f} ms after its time")
+            self.breach(LOST, now, f"{rid} is answered {late / MS:.1f} ms after its deadline")
         if entry.incarnation == self.incarnations[entry.balancer]:
             what = {200: "success", 429: "busy", 503: "busy"}.get(status, "failure")
             self.counts[entry.balancer][what] += 1
@@ -248,14 +247,14 @@
         elif status in (429, 503):
             self.refused += 1
             if entry.kind != "safe" and entry.may_have_run():
-                self.breach(REFUSED_RUN, now, f"{rid} ({entry.kind}) is refused and may have run")
+                self.breach(REFUSED_RUN, now, f"{rid} ({entry.kind}) is refused although it may have run")
         else:
             self.failed += 1
 
     def _check_body(self, now: int, entry: RequestRecord, body: str) -> None:
         name, _, rest = body.partition(" did ")
         if rest.strip() != entry.rid or name not in entry.served_by:
-            self.breach(WRONG_ANSWER, now, f"{entry.rid} is served with {body[:60]!r}")
+            self.breach(WRONG_ANSWER, now, f"{entry.rid} is answered with {body[:60]!r}")
 
     def broken(self, now: int, rid: str, again: bool, spoilt: bool = False) -> None:
         """Its connection ended without a complete answer; `again`: the client repeats it on a new connection.
@@ -270,7 +269,7 @@
         if spoilt:
             self.failed += 1
         elif entry.attempt_log and not self.excuse(entry.balancer, entry.sent, entry.sent, now):
-            self.breach(LOST, now, f"{rid} was sent on, and its connection ended without an answer")
+            self.breach(LOST, now, f"{rid} was sent to a sender, and its connection ended without an answer")
 
     def gone(self, now: int, rid: str) -> None:
         """Its client disconnected, after its deadline or before."""
@@ -281,11 +280,15 @@
         late = now > entry.deadline + self.terms.answer_slack
         limit = entry.deadline + self.terms.answer_slack
         if late and not self.excuse(entry.balancer, entry.sent, entry.deadline, limit):
-            self.breach(LOST, now, f"{rid} has no answer {(now - entry.deadline) / MS:.0f} ms after its time")
+            self.breach(
+                LOST, now, f"{rid} has no answer {(now - entry.deadline) / MS:.0f} ms after its deadline"
+            )
 
     def extra(self, now: int, balancer: str, data: bytes) -> None:
         """A client received bytes that belong to no request."""
-        self.breach(TWICE_ANSWERED, now, f"{balancer} sends a client {data[:40]!r}, which answers nothing")
+        self.breach(
+            TWICE_ANSWERED, now, f"{balancer} sends a client {data[:40]!r}, which belongs to no request"
+        )
 
     # ---- clinics: a message is one request, however often its frame is sent ----
 
@@ -307,12 +310,12 @@
         entry.balancer, entry.sent, entry.deadline = balancer, now, deadline
         if not entry.answers:
             entry.finished = False
-        if kind == "safe" or all(one.disproved for one in entry.attempt_log):
+        if kind == "safe" or all(attempt.disproved for attempt in entry.attempt_log):
             # It may have been rejected meanwhile: then this transmission counts as a new request.
             entry.attempts_before = len(entry.attempt_log)
-        before = [self.frames[one] for one in ahead]
-        due = max([deadline, *(frame.deadline for frame in before)])
-        frame = self.frames[rid, number] = Frame(balancer, now, due, before)
+        frames_ahead = [self.frames[key] for key in ahead]
+        due = max([deadline, *(frame.deadline for frame in frames_ahead)])
+        frame = self.frames[rid, number] = Frame(balancer, now, due, frames_ahead)
         entry.frames.append(frame)
 
     def acknowledged(self, now: int, rid: str, number: int, code: str, certain: bool) -> None:
@@ -322,7 +325,7 @@
             self.breach(TWICE_ANSWERED, now, f"{rid}/{number} has a second answer")
         late = now - frame.deadline - self.terms.answer_slack
         if late > 0 and not self.excuse(frame.balancer, frame.sent, frame.deadline, now):
-            self.breach(LOST, now, f"{rid}/{number} is answered {late / MS:.1f} ms after its time")
+            self.breach(LOST, now, f"{rid}/{number} is answered {late / MS:.1f} ms after its deadline")
         frame.finished = entry.finished = True
         entry.gave_up = None
         if code[1] == "R":
@@ -332,15 +335,15 @@
                 return  # another transmission is in flight: which of the two was rejected is not observable
             # Attempts that started while the answer was in flight belong to a later transmission.
             known = [
-                one
-                for one in entry.attempt_log
-                if one.at <= now - self.terms.client_delay or len(entry.frames) == 1
+                attempt
+                for attempt in entry.attempt_log
+                if attempt.at <= now - self.terms.client_delay or len(entry.frames) == 1
             ]
-            if entry.kind != "safe" and any(not one.disproved for one in known):
-                self.breach(REFUSED_RUN, now, f"{rid} ({entry.kind}) is rejected and may have run")
+            if entry.kind != "safe" and any(not attempt.disproved for attempt in known):
+                self.breach(REFUSED_RUN, now, f"{rid} ({entry.kind}) is rejected although it may have run")
             if not entry.answers:
                 entry.attempt_log = [
-                    one for one in entry.attempt_log if one not in known
+                    attempt for attempt in entry.attempt_log if attempt not in known
                 ]  # these have not run
                 entry.attempts_before = 0
             return
@@ -348,7 +351,7 @@
         self.served += code[1] == "A"
         self.failed += code[1] == "E"
         if code[1] == "A" and certain and not entry.served_by:
-            self.breach(WRONG_ANSWER, now, f"{rid} is acknowledged with {code}, and nobody did it")
+            self.breach(WRONG_ANSWER, now, f"{rid} is acknowledged with {code}, but no sender executed it")
 
     def cut_off(self, now: int, rid: str, number: int) -> None:
         """Its connection was closed, not by the clinic, before the last acknowledgement."""
@@ -358,7 +361,9 @@
         frame.finished = True
         taken = entry.attempt_log and len(entry.frames) == 1  # of several, which was taken can't be seen
         if taken and not self.excuse(frame.balancer, frame.sent, frame.sent, now):
-            self.breach(LOST, now, f"{rid}/{number} was sent on, and its connection ended without an answer")
+            self.breach(
+                LOST, now, f"{rid}/{number} was sent to a sender, and its connection ended without an answer"
+            )
 
     def unheard(self, now: int, rid: str, number: int) -> None:
         """The clinic stopped waiting for the answer, after its deadline or before."""
@@ -371,7 +376,7 @@
             self.breach(
                 LOST,
                 now,
-                f"{rid}/{number} has no answer {(now - frame.deadline) / MS:.0f} ms " "after its time",
+                f"{rid}/{number} has no answer {(now - frame.deadline) / MS:.0f} ms after its deadline",
             )
 
     # ---- traffic between balancers and senders ----
@@ -385,7 +390,7 @@
         if late > self.terms.client_gone_grace + self.unseen(balancer) and not self.was_partitioned(
             balancer, entry.left_at, now
         ):
-            self.breach(GONE, now, f"{rid} goes to {sender} {late / MS:.0f} ms after its client left")
+            self.breach(GONE, now, f"{rid} is sent to {sender} {late / MS:.0f} ms after its client left")
 
     def first_byte(self, now: int, balancer: str, sender: str, rid: str, mistaken: bool = False) -> None:
         """The balancer has written the first byte of an attempt: checks that the sender is in rotation.
@@ -399,13 +404,13 @@
             self.breach(
                 DRAIN,
                 now,
-                f"{rid} goes to {sender} {(now - since) / MS:.0f} ms after {balancer} "
-                f"was told that it drains or is gone",
+                f"{rid} is sent to {sender} {(now - since) / MS:.0f} ms after {balancer} "
+                f"was told that it is draining or gone",
             )
         banned_since = self.bans.get((balancer, sender))
         if banned_since is not None and not mistaken and now > banned_since + self.terms.drain_grace:
             self.breach(
-                BAN, now, f"{rid} goes to {sender} {(now - banned_since) / MS:.0f} ms after it was taken out"
+                BAN, now, f"{rid} is sent to {sender} {(now - banned_since) / MS:.0f} ms after it was banned"
             )
 
     def written(
@@ -426,19 +431,27 @@
         """
         entry = self.entries.get(rid)
         if entry is None:
-            self.breach(FAULT, now, f"{balancer} sends {rid}, which no client asked for")
+            self.breach(FAULT, now, f"{balancer} sends {rid}, which no client has sent")
             return
         after = entry.finished and entry.answers and now > entry.answered_at + self.unseen(balancer)
         if after and not self.excuse(balancer, entry.sent, entry.sent, now):
             self.breach(SENT_AFTER, now, f"{rid} is sent to {sender} after its answer came")
-        anchor = entry.may_have_run()
-        if anchor is not None and entry.kind == "unsafe":
-            self.breach(UNSAFE_AGAIN, now, f"{rid} goes to {sender} and may have run at {anchor.sender}")
-        if anchor is not None and entry.kind == "keyed" and not (address_reused or anchor.address_reused):
-            if cell != anchor.cell:
-                self.breach(KEYED_ASTRAY, now, f"{rid} goes to rack {cell} and may have run in {anchor.cell}")
-            elif now > anchor.at + self.terms.window + 50 * MS + self.unseen(balancer):
-                self.breach(KEYED_ASTRAY, now, f"{rid} goes again after its window")
+        possibly_run = entry.may_have_run()
+        if possibly_run is not None and entry.kind == "unsafe":
+            self.breach(
+                UNSAFE_AGAIN, now, f"{rid} is sent to {sender} but may have run at {possibly_run.sender}"
+            )
+        if (
+            possibly_run is not None
+            and entry.kind == "keyed"
+            and not (address_reused or possibly_run.address_reused)
+        ):
+            if cell != possibly_run.cell:
+                self.breach(
+                    KEYED_ASTRAY, now, f"{rid} is sent to rack {cell} but may have run in {possibly_run.cell}"
+                )
+            elif now > possibly_run.at + self.terms.window + 50 * MS + self.unseen(balancer):
+                self.breach(KEYED_ASTRAY, now, f"{rid} is sent again after its window")
         entry.attempt_log.append(AttemptRecord(now, balancer, sender, cell, connection, address_reused))
         self.counts[balancer]["attempts"] += 1
         attempts = len(entry.attempt_log) - entry.attempts_before
@@ -454,14 +467,16 @@
         excess = told - max(0, entry.deadline - now)
         allowed = self.terms.deadline_slack + self.unseen(entry.balancer)
         if excess > allowed and not self.excuse(entry.balancer, entry.sent, entry.sent, now):
-            self.breach(DEADLINE, now, f"{rid} tells {excess / MS:.0f} ms more than its client has left")
+            self.breach(
+                DEADLINE, now, f"{rid} carries a deadline {excess / MS:.0f} ms later than its client's"
+            )
 
     def disproved(self, connection: int, rid: str) -> None:
         """An answer that proves that the attempt did not run has arrived on this connection."""
         entry = self.entries.get(rid)
-        for one in entry.attempt_log if entry is not None else ():
-            if one.connection == connection:
-                one.disproved = True
+        for attempt in entry.attempt_log if entry is not None else ():
+            if attempt.connection == connection:
+                attempt.disproved = True
 
     # ---- senders ----
 
@@ -493,7 +508,7 @@
         first, last = entry.attempt_log[0].at, entry.attempt_log[-1].at
         sent_in_time = last <= first + self.terms.window
         forgotten = now > (first if sent_in_time else last) + self.terms.window
-        return forgotten or any(one.address_reused for one in entry.attempt_log)
+        return forgotten or any(attempt.address_reused for attempt in entry.attempt_log)
 
     def fell(self, now: int, sender: str) -> None:
         """A cold sender was overloaded: a breach if two thirds of its work came from balancers that knew."""
@@ -501,9 +516,13 @@
             (b, c) for at, b, c in self.recent_work.get(sender, ()) if at > now - self.terms.overload_window
         ]
         total = sum(c for _, c in recent) or 1.0
-        told = sum(c for b, c in recent if (b, sender) in self.known_starts)
-        if told >= self.terms.informed_share * total:
-            self.breach(COLD, now, f"{sender} falls over, {told / total:.0%} of its work from those who knew")
+        informed = sum(c for b, c in recent if (b, sender) in self.known_starts)
+        if informed >= self.terms.informed_share * total:
+            self.breach(
+                COLD,
+                now,
+                f"{sender} overloaded, {informed / total:.0%} of the work by balancers that knew its start",
+            )
 
     # ---- discovery's list, and what balancers are told of it ----
 
@@ -562,9 +581,9 @@
         for what, most in (("success", unseen), ("busy", unseen), ("failure", unseen), ("attempts", 0)):
             low, high = before.get(what, 0), seen[what] + most
             if not low <= told[what] <= high:
-                self.breach(FIGURES, now, f"{balancer} tells {told[what]} {what}, and it is {low} to {high}")
+                self.breach(FIGURES, now, f"{balancer} reports {told[what]} {what}, expected {low} to {high}")
         if not 0 <= told["inflight"] <= seen["asked"]:
-            self.breach(FIGURES, now, f"{balancer} tells {told['inflight']} in flight")
+            self.breach(FIGURES, now, f"{balancer} reports {told['inflight']} in flight")
 
     # ---- requests that were given up ----
 
--- a/dykeshift/sim/scenario.py
+++ b/dykeshift/sim/scenario.py
@@ -168,7 +168,7 @@
     try:
         raw = json.loads(text)
         if raw.get("version") != VERSION:
-            raise ScenarioError(f"its version is {raw.get('version')!r}, this program reads {VERSION}")
+            raise ScenarioError(f"unsupported version {raw.get('version')!r}, this program reads {VERSION}")
         faults = tuple(Fault(**f) for f in raw["faults"])
         unknown = {f.kind for f in faults} - {*FAULTS, *DISK_FAULTS, *OPERATORS, *WATCH_FAULTS}
         if unknown:
@@ -183,7 +183,7 @@
     except ScenarioError:
         raise
     except (ValueError, TypeError, KeyError, AttributeError) as exc:
-        raise ScenarioError(f"no scenario: {type(exc).__name__}: {exc}") from None
+        raise ScenarioError(f"not a scenario: {type(exc).__name__}: {exc}") from None
 
 
 # ---- drawing ----
@@ -291,7 +291,7 @@
 def _draw_faults(random: Random, options: Options) -> tuple[Fault, ...]:
     enabled = [kind for kind in FAULTS if random.random() < random.choice([0.15, 0.35])]
     faults = list[Fault]()
-    cluster_times = [random.uniform(0.3, FAULT_PERIOD) for _ in range(3)]  # faults gather round a few moments
+    cluster_times = [random.uniform(0.3, FAULT_PERIOD) for _ in range(3)]  # faults cluster around these times
     for kind in enabled:
         for _ in range(random.randint(1, MAX_OCCURRENCES.get(kind, 1) + 1)):
             at = (
@@ -396,7 +396,7 @@
 # Seconds: SIGKILL follows SIGTERM after the longest deadline, of which LONGEST_COUNTED counts at most, and
 # KILL_GRACE more.
 KILL_GRACE, LONGEST_COUNTED = 0.7, 3.0
-LATE_COMERS = 16  # clients that connect around each SIGTERM and send their request later
+LATE_CLIENTS = 16  # clients that connect around each SIGTERM and send their request later
 
 
 def kill_after(longest: float) -> float:
@@ -413,7 +413,7 @@
     for which in range(options.balancers):
         at = random.uniform(0.5, last)
         faults.append(Fault("restart-balancer", _round(at, options), 0.3, which))
-        asks += [_late_client(random, at, options) for _ in range(LATE_COMERS)]
+        asks += [_late_client(random, at, options) for _ in range(LATE_CLIENTS)]
         for kind in random.sample(("lose", "hang", "sender-stall", "slow"), 2):
             low, high = SIZES.get(kind, (0.0, 1.0))
             size, number = round(random.uniform(low, high), 4), random.randrange(1000)
--- a/dykeshift/sim/scene.py
+++ b/dykeshift/sim/scene.py
@@ -20,7 +20,7 @@
     scenario: Scenario
     world: World
     net: Network
-    referee: Referee
+    checker: Referee
     rng: Random
     racks: list[Rack]
     by_name: dict[str, Sender]
--- a/dykeshift/sim/views.py
+++ b/dykeshift/sim/views.py
@@ -29,9 +29,13 @@
         recent = sum(now - at <= DETECTION_LIMIT for at in self.last_running.values())
         for node, view in views:
             if view.standing.at_most < holding:
-                self._report(f"{node.name} says at most {view.standing.at_most}, {holding} hold the lease")
+                self._report(
+                    f"{node.name} has upper bound {view.standing.at_most}, but {holding} hold the lease"
+                )
             if view.standing.at_least > recent:
-                self._report(f"{node.name} says at least {view.standing.at_least}, {recent} ran lately")
+                self._report(
+                    f"{node.name} has lower bound {view.standing.at_least}, but {recent} ran recently"
+                )
 
     @staticmethod
     def _stalled(node: Node, now: int) -> bool:
@@ -47,13 +51,13 @@
         views = [(node, node.view()) for node in self.nodes]
         for node, view in views:
             if view is None:
-                self.breach(f"{node.name} keeps no view in the end")
+                self.breach(f"{node.name} keeps no view at the end")
             elif not view.settled or view.standing.at_least != len(self.nodes):
                 how = "settled" if view.settled else "not settled"
                 self.breach(
-                    f"{node.name} is {how} in the end, with at least {view.standing.at_least} of "
+                    f"{node.name} is {how} at the end, with at least {view.standing.at_least} of "
                     f"{len(self.nodes)}"
                 )
         digests = {view.digest(self.world.now) for _, view in views if view is not None}
         if len(digests) > 1:
-            self.breach(f"{len(digests)} digests in the end")
+            self.breach(f"{len(digests)} different digests at the end")
--- a/dykeshift/sim/wire.py
+++ b/dykeshift/sim/wire.py
@@ -36,28 +36,26 @@
         if self.requests.idle() and self.sent_frames.idle():
             self.request_started_at = now
         try:
-            whole = self._requests(data)
+            completed = self._requests(data)
         except ValueError as exc:
-            simulation.referee.breach(
-                rules.FAULT, now, f"{node.name} writes to a sender what cannot be read: {exc}"
-            )
+            simulation.checker.breach(rules.FAULT, now, f"{node.name} sends a sender malformed data: {exc}")
             return
-        for request in whole:
+        for request in completed:
             self.rid = request.headers.get("x-request-id", "")
             sender = simulation.by_name[self.endpoint.peer_name()]
             simulation.world.trace(f"{node.name} sends {self.rid} to {sender.name}")
             at = f"{self.endpoint.peer.address[0]}:{self.endpoint.peer.address[1]}"
             mistaken = node.instance_at.get(at, sender.name) != sender.name
             address_reused = node.told_by_discovery and mistaken
-            simulation.referee.begun(self.request_started_at, node.name, sender.name, self.rid)
+            simulation.checker.begun(self.request_started_at, node.name, sender.name, self.rid)
             if "x-deadline-ms" in request.headers:
                 told = int(request.headers["x-deadline-ms"]) * MS
-                simulation.referee.deadline_told(self.request_started_at, self.rid, told)
+                simulation.checker.deadline_told(self.request_started_at, self.rid, told)
             if not address_reused:
-                simulation.referee.first_byte(
+                simulation.checker.first_byte(
                     self.request_started_at, node.name, sender.name, self.rid, mistaken
                 )
-            simulation.referee.written(
+            simulation.checker.written(
                 now,
                 self.rid,
                 node.name,
@@ -72,40 +70,40 @@
         """Requests completed by `data`; a clinic's message is identified by its control id."""
         if self.mllp:
             return [hl7.as_request(content) for content in self.sent_frames.feed(data)]
-        whole = self.requests.feed(data)
-        for n, request in enumerate(whole):
+        completed = self.requests.feed(data)
+        for n, request in enumerate(completed):
             if request.headers.get("content-type") == hl7.MEDIA_TYPE:
-                whole[n] = hl7.as_request(request.body, request.headers)
-                name, rid = whole[n].headers["x-request-id"], request.headers.get("x-request-id", "")
+                completed[n] = hl7.as_request(request.body, request.headers)
+                name, rid = completed[n].headers["x-request-id"], request.headers.get("x-request-id", "")
                 if self.simulation.http_request_ids.setdefault(name, rid) != rid:
-                    self.simulation.referee.breach(
-                        rules.FAULT, self._now(), f"{name} goes to senders under two ids"
+                    self.simulation.checker.breach(
+                        rules.FAULT, self._now(), f"{name} is sent to senders under two request ids"
                     )
-        return whole
+        return completed
 
     def _acks(self, data: bytes) -> None:
         try:
             for content in self.received_frames.feed(data):
                 code, control_id = hl7.read_ack(content)
                 if code[1] == "R" and control_id == self.rid:
-                    self.simulation.referee.disproved(self.number, self.rid)
+                    self.simulation.checker.disproved(self.number, self.rid)
         except ValueError:
             self.received_frames = hl7.Blocks()
 
     def on_sender_bytes(self, data: bytes) -> None:
-        """Bytes from a sender to a balancer; tells the referee of answers that prove that nothing ran."""
+        """Bytes from a sender to a balancer; tells the checker of answers that prove that nothing ran."""
         if self.mllp:
             self._acks(data)
             return
         try:
             for answer in self.answers.feed(data):
                 if answer.status in (503, 504) and answer.headers.get("x-not-run") == "1":
-                    self.simulation.referee.disproved(self.number, self.rid)
+                    self.simulation.checker.disproved(self.number, self.rid)
         except (MessageError, ValueError, IndexError):
             self.answers = Messages()
 
     def on_discovery_bytes(self, node: Node, data: bytes) -> None:
-        """Bytes from discovery to a balancer; tells the referee which instances the balancer now knows."""
+        """Bytes from discovery to a balancer; tells the checker which instances the balancer now knows."""
         try:
             for answer in self.answers.feed(data):
                 if answer.status == 200:
@@ -129,8 +127,8 @@
             if row["lifecycle"] != "left":
                 node.instance_at[row["hostPort"]] = row["instanceId"]
             listed.add(row["instanceId"])
-            simulation.referee.told(
+            simulation.checker.told(
                 now, node.name, row["instanceId"], row["lifecycle"] == "active", row["startedAtMs"] > 0
             )
         if rows["reset"]:
-            simulation.referee.told_whole(now, node.name, listed)
+            simulation.checker.told_whole(now, node.name, listed)
