--- a/tests/soak/defects.py
+++ b/tests/soak/defects.py
@@ -1,6 +1,6 @@
-"""Faults that are put into a daemon on purpose: for each rule one in whole and one in small.
+"""Seeded defects of a daemon: for most rules one that always breaks it and one that breaks it only in part.
 
-`python -m tests.soak.defects NAME` is a daemon with that fault; the drawn runs of the soak must find it.
+`python -m tests.soak.defects NAME` runs a daemon with that defect; the drawn runs of the soak must find it.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Size(StrEnum):
-    """How much of a rule a defect gives up."""
+    """Whether a defect violates a rule altogether, or only rarely or in special cases."""
 
     WHOLE = "whole"
     SMALL = "small"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """A fault that is put in, and the rules of which one must be found broken."""
+    """A seeded defect, and the rules of which at least one must be found broken."""
 
     name: str
     size: Size
@@ -42,36 +42,38 @@
     patches: Callable[[], list[Patch]]
 
 
-SELDOM = 0.1  # share of requests that a small defect concerns
+RARE_SHARE = 0.1  # share of calls that a rare defect affects
 
 
-def _seldom(patches: Callable[[], list[Patch]]) -> Callable[[], list[Patch]]:
-    """The same defect in one of ten calls."""
+def _rarely(patches: Callable[[], list[Patch]]) -> Callable[[], list[Patch]]:
+    """Return the same defect, restricted to one of ten calls."""
 
-    def made() -> list[Patch]:
-        return [(owner, name, _sometimes(owner.__dict__[name], value)) for owner, name, value in patches()]
+    def rare_patches() -> list[Patch]:
+        return [
+            (owner, name, _rarely_defective(owner.__dict__[name], value)) for owner, name, value in patches()
+        ]
 
-    return made
+    return rare_patches
 
 
-def _sometimes(sound: Any, defective: Any) -> Any:
-    draws = random.Random(1)
+def _rarely_defective(sound: Any, defective: Any) -> Any:
+    rng = random.Random(1)
 
     def call(*args: Any, **named: Any) -> Any:
-        return (defective if draws.random() < SELDOM else sound)(*args, **named)
+        return (defective if rng.random() < RARE_SHARE else sound)(*args, **named)
 
     return call
 
 
-def _of_simulation(name: str) -> Callable[[], list[Patch]]:
+def _simulation_defect(name: str) -> Callable[[], list[Patch]]:
     return BY_NAME[name].patches
 
 
 # ---- one answer ----
 
 
-def _two_answers() -> list[Patch]:
-    """A copy's whole answer is written into a long one that has begun."""
+def _answer_into_stream() -> list[Patch]:
+    """The complete answer of a copy is written into a streamed answer that has started."""
 
     def answer(self: server.Client, reply: replies.Reply) -> None:
         if self.transport is not None and self.busy:
@@ -85,18 +87,18 @@
     ]
 
 
-def _closed_unread() -> list[Patch]:
-    """The event loop's own listener, which clears its queue when there is no descriptor."""
+def _drop_backlog_without_descriptors() -> list[Patch]:
+    """Uses the event loop's own listener, which drains the backlog when no descriptor is free."""
 
-    class Plain:
-        def __init__(self, made: asyncio.Server) -> None:
-            self.made = made
+    class LoopListener:
+        def __init__(self, server: asyncio.Server) -> None:
+            self.server = server
 
         def pending(self) -> bool:
             return False
 
         def close(self) -> None:
-            self.made.close()
+            self.server.close()
 
         abandon = close
 
@@ -106,70 +108,70 @@
         address: tuple[str, int],
         backlog: int,
         inherited: socket.socket | None = None,
-    ) -> Plain:
-        return Plain(await loop.create_server(factory, *address, backlog=backlog))
+    ) -> LoopListener:
+        return LoopListener(await loop.create_server(factory, *address, backlog=backlog))
 
     defaults = program.serve.__defaults__
     assert isinstance(defaults, tuple)
-    changed = tuple(listen if one is listener.listen else one for one in defaults)
+    changed = tuple(listen if value is listener.listen else value for value in defaults)
     return [(program.serve, "__defaults__", changed)]
 
 
 # ---- attempts ----
 
 
-def _unsafe_as_safe() -> list[Patch]:
-    """Requests that may not be repeated are treated as such that may."""
+def _treat_unsafe_as_safe() -> list[Patch]:
+    """All requests are treated as safe to repeat."""
 
-    def sound(klass: RequestClass) -> RequestClass:
+    def as_safe(klass: RequestClass) -> RequestClass:
         return replace(klass, idempotency=Idempotency.SAFE)
 
     def init(self: module.Balancer, settings: Any, seed: int) -> None:
-        original(self, replace(settings, classes=tuple(sound(one) for one in settings.classes)), seed)
+        original(self, replace(settings, classes=tuple(as_safe(klass) for klass in settings.classes)), seed)
 
     original = module.Balancer.__init__
     return [(module.Balancer, "__init__", init)]
 
 
-def _once_more_after_the_answer() -> list[Patch]:
-    """What has been answered is sent once more when the answer has long been read."""
+def _resend_after_answer() -> list[Patch]:
+    """A request is sent again half a second after it was answered."""
 
     def finish(self: driver.Driver, job: driver.Job, final: terms.Final) -> None:
         original(self, job, final)
         number = next(iter(self.ready), None)
         if final.how is terms.How.SERVED and number is not None:
-            words = self.pool.carrier.words(job.incoming)
+            encoder = self.pool.carrier.words(job.incoming)
             until = self.clock.monotonic_ns() + 2_000_000_000
-            self.loop.call_later(0.5, self.pool.start, number, words, until, lambda end: None)
+            self.loop.call_later(0.5, self.pool.start, number, encoder, until, lambda end: None)
 
     original = driver.Driver._finish
     return [(driver.Driver, "_finish", finish)]
 
 
-def _told_too_much() -> list[Patch]:
-    """The deadline told is 0.6 s more than what is left."""
+def _overstate_deadline() -> list[Patch]:
+    """The deadline sent upstream is 0.6 s longer than the time left."""
 
     def message(self: requests.Incoming, left: int) -> Any:
-        patient = replace(self, patience=left + 600_000_000)
-        return original(patient, patient.patience)
+        extended = replace(self, patience=left + 600_000_000)
+        return original(extended, extended.patience)
 
     original = requests.Incoming.message
     return [(requests.Incoming, "message", message)]
 
 
-# ---- clients, drains, the end ----
+# ---- clients, drains, termination ----
 
 
-def _leaving_ignored() -> list[Patch]:
-    """That a client has left is neither heard nor looked for."""
+def _ignore_client_disconnects() -> list[Patch]:
+    """A client that disconnects is neither noticed nor checked for."""
     return [
         (driver.Driver, "client_gone", lambda self, request_id: None),
         (driver.Driver, "_wanted", lambda self, job: True),
     ]
 
 
-def _list_late() -> list[Patch]:
-    """Changes of the list are taken in two seconds late."""
+def _apply_updates_late() -> list[Patch]:
+    """Updates of the server list are applied two seconds late."""
 
     def apply(self: driver.Driver, kind: Any, listed: Any) -> bool:
         if kind is not ListKind.DELTA:
@@ -181,8 +183,8 @@
     return [(driver.Driver, "apply", apply)]
 
 
-def _no_refusal_at_the_end() -> list[Patch]:
-    """The last moments are not set aside: the process ends as its time is over, answered or not."""
+def _skip_final_refusals() -> list[Patch]:
+    """No time is reserved for final refusals: the process exits at its limit, with requests unanswered."""
     return [
         (termination.Termination, "limit", lambda self, deadline: deadline),
         (driver.Driver, "_shorten_deadlines", lambda self: None),
@@ -202,7 +204,7 @@
     return [(module.Balancer, "on_request", on_request)]
 
 
-def _refuse_half_of_a_class() -> list[Patch]:
+def _refuse_half_of_keyed() -> list[Patch]:
     def on_request(self: module.Balancer, now: int, request: Any) -> Any:
         klass = self.records[request.klass].klass
         if klass.idempotency is Idempotency.KEYED and self.random() < 0.5:
@@ -213,8 +215,8 @@
     return [(module.Balancer, "on_request", on_request)]
 
 
-def _falls_at_a_reset() -> list[Patch]:
-    """An attempt that breaks ends the process."""
+def _exit_on_reset() -> list[Patch]:
+    """A connection that breaks during an attempt ends the process."""
 
     def broken(self: upstream.Attempt, written: bool) -> None:
         sys.exit(1)
@@ -223,75 +225,96 @@
 
 
 WHOLE, SMALL = Size.WHOLE, Size.SMALL
-UNPROVED = (referee.UNSAFE_AGAIN, referee.REFUSED_RUN, referee.EFFECT_TWICE, referee.KEYED_ASTRAY)
-WRONG = (referee.WRONG_ANSWER, referee.TWICE_ANSWERED)
+REPEAT_RULES = (referee.UNSAFE_AGAIN, referee.REFUSED_RUN, referee.EFFECT_TWICE, referee.KEYED_ASTRAY)
+ANSWER_RULES = (referee.WRONG_ANSWER, referee.TWICE_ANSWERED)
 DEFECTS = [
     Defect(
         "ends without regard to the kill",
         WHOLE,
         (referee.LOST,),
-        _of_simulation("counts an end from each request's arrival"),
+        _simulation_defect("counts an end from each request's arrival"),
     ),
-    Defect("leaves what is open at its end", SMALL, (referee.LOST, PROCESS), _no_refusal_at_the_end),
-    Defect("never expires", WHOLE, (referee.LOST,), _of_simulation("never expires")),
-    Defect("seldom expires not", SMALL, (referee.LOST,), _seldom(_of_simulation("never expires"))),
-    Defect("closes unread without descriptors", SMALL, (UNREAD,), _closed_unread),
-    Defect("answers twice", WHOLE, WRONG, _of_simulation("answers a client twice")),
-    Defect("answers into a long answer", SMALL, WRONG, _two_answers),
-    Defect("serves the answer before", WHOLE, WRONG, _of_simulation("serves the answer before")),
+    Defect("leaves what is open at its end", SMALL, (referee.LOST, PROCESS), _skip_final_refusals),
+    Defect("never expires", WHOLE, (referee.LOST,), _simulation_defect("never expires")),
+    Defect("seldom expires not", SMALL, (referee.LOST,), _rarely(_simulation_defect("never expires"))),
+    Defect("closes unread without descriptors", SMALL, (UNREAD,), _drop_backlog_without_descriptors),
+    Defect("answers twice", WHOLE, ANSWER_RULES, _simulation_defect("answers a client twice")),
+    Defect("answers into a long answer", SMALL, ANSWER_RULES, _answer_into_stream),
+    Defect("serves the answer before", WHOLE, ANSWER_RULES, _simulation_defect("serves the answer before")),
     Defect(
-        "seldom serves the answer before", SMALL, WRONG, _seldom(_of_simulation("serves the answer before"))
+        "seldom serves the answer before",
+        SMALL,
+        ANSWER_RULES,
+        _rarely(_simulation_defect("serves the answer before")),
+    ),
+    Defect("treats all as safe", WHOLE, REPEAT_RULES, _treat_unsafe_as_safe),
+    Defect("takes a reset for a proof", SMALL, REPEAT_RULES, _simulation_defect("takes a reset for a proof")),
+    Defect(
+        "repeats keys in any rack",
+        WHOLE,
+        REPEAT_RULES,
+        _simulation_defect("repeats keyed requests in any rack"),
     ),
-    Defect("treats all as safe", WHOLE, UNPROVED, _unsafe_as_safe),
-    Defect("takes a reset for a proof", SMALL, UNPROVED, _of_simulation("takes a reset for a proof")),
-    Defect("repeats keys in any rack", WHOLE, UNPROVED, _of_simulation("repeats keyed requests in any rack")),
-    Defect("takes a 500 for a proof", SMALL, UNPROVED, _of_simulation("takes a 500 for a proof")),
-    Defect("refuses whatever it gives up", WHOLE, UNPROVED, _of_simulation("refuses whatever it gives up")),
-    Defect("takes a time-out for a proof", SMALL, UNPROVED, _of_simulation("takes a time-out for a proof")),
-    Defect("ignores drains", WHOLE, (referee.DRAIN,), _of_simulation("forgets the drain check")),
-    Defect("hears of drains two seconds late", SMALL, (referee.DRAIN,), _list_late),
+    Defect("takes a 500 for a proof", SMALL, REPEAT_RULES, _simulation_defect("takes a 500 for a proof")),
+    Defect(
+        "refuses whatever it gives up",
+        WHOLE,
+        REPEAT_RULES,
+        _simulation_defect("refuses whatever it gives up"),
+    ),
+    Defect(
+        "takes a time-out for a proof",
+        SMALL,
+        REPEAT_RULES,
+        _simulation_defect("takes a time-out for a proof"),
+    ),
+    Defect("ignores drains", WHOLE, (referee.DRAIN,), _simulation_defect("forgets the drain check")),
+    Defect("hears of drains two seconds late", SMALL, (referee.DRAIN,), _apply_updates_late),
     Defect(
         "fills cold servers first",
         WHOLE,
         (referee.COLD,),
-        _of_simulation("sends to the newest first, cold or not"),
+        _simulation_defect("sends to the newest first, cold or not"),
     ),
-    Defect("ignores the cold budget", SMALL, (referee.COLD,), _of_simulation("ignores the cold budget")),
-    Defect("makes a fourth attempt", WHOLE, (referee.ATTEMPTS,), _of_simulation("makes a fourth attempt")),
-    Defect("sends once more after the answer", WHOLE, (referee.SENT_AFTER,), _once_more_after_the_answer),
+    Defect("ignores the cold budget", SMALL, (referee.COLD,), _simulation_defect("ignores the cold budget")),
     Defect(
-        "seldom sends once more after it", SMALL, (referee.SENT_AFTER,), _seldom(_once_more_after_the_answer)
+        "makes a fourth attempt", WHOLE, (referee.ATTEMPTS,), _simulation_defect("makes a fourth attempt")
     ),
-    Defect("ignores that clients leave", WHOLE, (referee.GONE,), _leaving_ignored),
+    Defect("sends once more after the answer", WHOLE, (referee.SENT_AFTER,), _resend_after_answer),
+    Defect("seldom sends once more after it", SMALL, (referee.SENT_AFTER,), _rarely(_resend_after_answer)),
+    Defect("ignores that clients leave", WHOLE, (referee.GONE,), _ignore_client_disconnects),
     Defect(
         "does not look before it writes",
         SMALL,
         (referee.GONE,),
-        _of_simulation("begins for clients whose close is unread"),
+        _simulation_defect("begins for clients whose close is unread"),
     ),
-    Defect("tells 0.6 s more than is left", WHOLE, (referee.DEADLINE,), _told_too_much),
+    Defect("tells 0.6 s more than is left", WHOLE, (referee.DEADLINE,), _overstate_deadline),
     Defect(
         "tells the whole patience",
         SMALL,
         (referee.DEADLINE,),
-        _of_simulation("tells each upstream the class's deadline"),
+        _simulation_defect("tells each upstream the class's deadline"),
     ),
     Defect("refuses a third", WHOLE, (SERVICE,), _refuse_a_third),
-    Defect("refuses half of a class", SMALL, (SERVICE,), _refuse_half_of_a_class),
-    Defect("ends at a reset", WHOLE, (PROCESS,), _falls_at_a_reset),
+    Defect("refuses half of a class", SMALL, (SERVICE,), _refuse_half_of_keyed),
+    Defect("ends at a reset", WHOLE, (PROCESS,), _exit_on_reset),
     Defect(
-        "raises in one of fifty timers", SMALL, (PROCESS,), _of_simulation("raises in one of fifty timers")
+        "raises in one of fifty timers",
+        SMALL,
+        (PROCESS,),
+        _simulation_defect("raises in one of fifty timers"),
     ),
 ]
-NAMED = {one.name: one for one in DEFECTS}
+DEFECTS_BY_NAME = {defect.name: defect for defect in DEFECTS}
 
 
 def apply(defect: Defect) -> None:
-    """Put a fault into this process for good."""
+    """Patch a defect into this process permanently."""
     for owner, name, value in defect.patches():
         setattr(owner, name, value)
 
 
 if __name__ == "__main__":
-    apply(NAMED[" ".join(sys.argv[1:])])
+    apply(DEFECTS_BY_NAME[" ".join(sys.argv[1:])])
     sys.exit(program.main())
--- a/tests/soak/hunt.py
+++ b/tests/soak/hunt.py
@@ -1,4 +1,4 @@
-"""Whether drawn runs find each fault that is put in: `python -m tests.soak.hunt`; prints a table."""
+"""Checks that drawn runs find each seeded defect: `python -m tests.soak.hunt` prints a table."""
 
 from __future__ import annotations
 
@@ -10,43 +10,45 @@
 from tests.soak.defects import DEFECTS, Defect, Size
 from tests.soak.run import play
 
-SEEDS = {Size.WHOLE: 20, Size.SMALL: 100}  # within so many a defect must be found
+MAX_RUNS = {Size.WHOLE: 20, Size.SMALL: 100}  # by size of the defect: it must be found within so many runs
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """By which run a defect was found, as the how manieth, and which rule it broke."""
+class HuntResult:
+    """The run that found a defect, the number of runs played, and the rule that was broken."""
 
     seed: int = -1
     runs: int = 0
     rule: str = ""
 
 
-def finds(name: str, seed: int) -> str:
-    """The rule that a run finds broken with a defect, of those that it must break; empty: none."""
+def find_broken_rule(name: str, seed: int) -> str:
+    """Play a seed with a defect; return the first of its rules that the run finds broken, or ""."""
     defect = next(one for one in DEFECTS if one.name == name)
     result = play(seed, ("-m", "tests.soak.defects", name))
-    return next((rule for rule in defect.rules if rule in result.rules()), "")
+    return next((rule for rule in defect.rules if rule in result.broken_rules()), "")
 
 
-def hunt(defect: Defect, first: int, most: int, pool: ProcessPoolExecutor, jobs: int) -> Found:
-    """Play seeds from `first` on, `jobs` at once, until one finds it."""
+def hunt(defect: Defect, first: int, most: int, pool: ProcessPoolExecutor, jobs: int) -> HuntResult:
+    """Play seeds from `first` on, `jobs` at once, until one finds the defect or `most` have been played."""
     for begin in range(0, most, jobs):
         seeds = range(first + begin, first + min(begin + jobs, most))
-        played = {pool.submit(finds, defect.name, seed): seed for seed in seeds}
-        found = sorted((played[one], one.result()) for one in as_completed(played) if one.result())
+        played = {pool.submit(find_broken_rule, defect.name, seed): seed for seed in seeds}
+        found = sorted(
+            (played[future], future.result()) for future in as_completed(played) if future.result()
+        )
         if found:
-            return Found(found[0][0], begin + len(seeds), found[0][1])
-    return Found(runs=most)
+            return HuntResult(found[0][0], begin + len(seeds), found[0][1])
+    return HuntResult(runs=most)
 
 
 def main() -> int:
-    """Hunt all defects, or those whose name holds a text; exit 1 if one is not found."""
+    """Hunt all defects, or those whose name contains a text; return 1 if one is not found."""
     parser = argparse.ArgumentParser(prog="python -m tests.soak.hunt", description=__doc__)
     parser.add_argument("--first", type=int, default=500)
     parser.add_argument("--jobs", type=int, default=4)
-    parser.add_argument("--most", type=int, default=0, help="runs for each; 0: as many as its size allows")
-    parser.add_argument("--only", default="", help="names, or parts of them, separated by |")
+    parser.add_argument("--most", type=int, default=0, help="runs per defect; 0: the limit of its size")
+    parser.add_argument("--only", default="", help="defect names or parts of them, separated by |")
     given = parser.parse_args()
     missed = 0
     print(
@@ -56,7 +58,7 @@
         for defect in DEFECTS:
             if not any(part in defect.name for part in given.only.split("|")):
                 continue
-            most = given.most or SEEDS[defect.size]
+            most = given.most or MAX_RUNS[defect.size]
             found = hunt(defect, given.first, most, pool, given.jobs)
             missed += not found.rule
             seed = str(found.seed) if found.rule else ""
--- a/tests/soak/observer.py
+++ b/tests/soak/observer.py
@@ -1,7 +1,7 @@
-"""What clients, senders and discovery of a soak see, told to the rules that the simulation holds.
+"""Reports what clients, senders and discovery observe in a soak run to the checker of the simulation.
 
-Nothing here judges a request: facts go to `sim.referee.Referee` with their time. Real time allows no look
-between two events, so the referee is given slacks for a busy machine, named below.
+Nothing here judges a single request: each event is passed with its time to `sim.referee.Referee`. In real
+time events are observed with a delay, so the checker is given the tolerances below for a busy machine.
 """
 
 from __future__ import annotations
@@ -21,50 +21,50 @@
 from dykeshift.standins.sender import STREAM_PIECE, STREAM_PIECES, Link, Sender
 
 S = 1_000 * MS
-SCHEDULING = 200 * MS  # by which this process may see or do something too late on a busy machine
-READING = 40 * MS  # from a balancer's write until a sender here has read it, on a machine that is not busy
-LATELY = S  # so far back lateness counts
-BEAT = 0.01  # seconds between two looks at how late this process is
-LATE = 500 * MS  # after its time: until then an answer only earns nothing
+SCHEDULING_SLACK = 200 * MS  # delay with which this process may see or do something on a busy machine
+READ_SLACK = 40 * MS  # from a balancer's write until a sender here has read it, on an idle machine
+LAG_WINDOW = S  # delays older than this no longer count
+LAG_CHECK_INTERVAL_S = 0.01  # between two measurements of how late this process runs
+LATE_ANSWER_SLACK = 500 * MS  # past its deadline: an answer within it is worthless, but breaks no rule
 NEVER = 1 << 62
-RECOVERY = 1_500 * MS  # from the end of trouble with senders until tries count for the floor of service
-FLOOR, CLASS_FLOOR, FEW = 0.85, 0.75, 30  # shares of tries that must be served, where there are not too few
-SERVICE = "service"  # rule: a floor of what is served
-PROCESS = "process"  # rule: a process ends when it is told to, and logs no fault of its own
-UNREAD = "closed-unread"  # rule: a new connection that was accepted is not closed with its request unanswered
+RECOVERY = 1_500 * MS  # from the end of sender faults until tries count towards the served share
+MIN_SERVED_SHARE, MIN_CLASS_SERVED_SHARE, MIN_TRIES = 0.85, 0.75, 30  # checked from MIN_TRIES tries on
+SERVICE = "service"  # rule: a minimum share of tries is served
+PROCESS = "process"  # rule: a process exits with 0 when terminated, and logs no internal error
+UNREAD = "closed-unread"  # rule: an accepted new connection is not closed without answering its request
 
 
 class ObservedLink(Link):
-    """A balancer's connection to a sender, whose requests the observer can place."""
+    """A balancer's connection to a sender; lets the observer match requests to connections."""
 
     numbers = itertools.count(1)
 
     def __init__(self, sender: Sender) -> None:
         super().__init__(sender)
         self.number = next(self.numbers)
-        self.began = 0  # when the first byte of the latest request came, in nanoseconds
+        self.first_byte_at = 0  # arrival of the latest request's first byte, monotonic nanoseconds
         self.request_id = ""
 
     def data_received(self, data: bytes) -> None:
-        """Let the observer know on which connection a request comes."""
+        """Tell the observer on which connection the next request arrives."""
         observer = self.sender.witness
         assert isinstance(observer, Observer)
         if self.messages.idle():
-            self.began = time.monotonic_ns()
-        observer.link = self
+            self.first_byte_at = time.monotonic_ns()
+        observer.current_link = self
         super().data_received(data)
 
     def abort(self) -> None:
-        """Reset the connection; a long answer on it is spoilt by its sender, then."""
+        """Reset the connection; an answer in progress counts as aborted by its sender."""
         observer = self.sender.witness
         assert isinstance(observer, Observer)
         if self.open_requests:
-            observer.spoilt.add(self.request_id)
+            observer.aborted_streams.add(self.request_id)
         super().abort()
 
 
 class ObservedRegistry(Registry):
-    """Discovery whose changes the observer hears of."""
+    """Discovery that reports its changes to the observer."""
 
     observer: Observer
 
@@ -75,7 +75,7 @@
 
 
 class NamedCall(Call):
-    """A call of a balancer that is known by the address it came to."""
+    """A discovery call of a balancer, which is identified by the address it connected to."""
 
     def __init__(self, registry: Registry, balancer: str) -> None:
         super().__init__(registry)
@@ -83,73 +83,77 @@
 
 
 class Observer(Tally):
-    """Account of clients, witness of senders and of discovery."""
+    """Receives the events of clients, senders and discovery and passes them to the checker."""
 
     def __init__(self) -> None:
         super().__init__()
-        terms = Terms(answer_slack=LATE + SCHEDULING)
-        self.referee = Referee(terms, self.excuse, reached=self.reached, unseen=self.unseen)
-        self.lags: deque[tuple[int, int]] = deque()  # when, and by how much this process was late
-        self.delays: dict[str, deque[tuple[int, int]]] = {}  # by balancer: when, and for how long it was kept
-        self.link: ObservedLink | None = None  # that a sender reads from just now
-        self.spoilt: set[str] = set()  # requests whose long answer its sender broke off
-        self.killed: dict[str, list[int]] = {}  # by balancer: when a kill out of the blue was ordered
-        self.terminated: dict[str, int] = {}  # by balancer: when it was last told to end
-        self.cut_off_until = 0  # nobody hears discovery until then
-        self.deaf: dict[str, int] = {}  # by balancer: since when it may hear discovery; NEVER while it cannot
-        self.counted: set[str] = set()  # tries that count for the floor of service
-        self.troubled_until = 0  # when the last trouble of senders ended
-        self.asked: Counter[str] = Counter()  # of those tries, by class
-        self.served: Counter[str] = Counter()
-
-    def broken_by_rule(self, rule: str, text: str) -> None:
-        """Note a breach of a rule that is the soak's own."""
+        terms = Terms(answer_slack=LATE_ANSWER_SLACK + SCHEDULING_SLACK)
+        self.referee = Referee(
+            terms, self.excused_by_kill, reached=self.discovery_reachable_since, unseen=self.observation_slack
+        )
+        self.own_lags: deque[tuple[int, int]] = deque()  # (when, how late this process ran)
+        # By balancer: (until when, for how long it could not run).
+        self.balancer_delays: dict[str, deque[tuple[int, int]]] = {}
+        self.current_link: ObservedLink | None = None  # the connection being read by a sender
+        self.aborted_streams: set[str] = set()  # ids of requests whose streamed answer the sender aborted
+        self.killed_at: dict[str, list[int]] = {}  # by balancer: times of SIGKILLs without a SIGTERM before
+        self.terminated_at: dict[str, int] = {}  # by balancer: time of its latest SIGTERM
+        self.discovery_down_until = 0  # no balancer can reach discovery before; NEVER during a fault
+        # By balancer: since when it can reach discovery; NEVER while it cannot.
+        self.reachable_since: dict[str, int] = {}
+        self.counted_tries: set[str] = set()  # ids of tries that count towards the served share
+        self.senders_disturbed_until = 0  # end of the latest sender fault
+        self.tries_by_class: Counter[str] = Counter()  # finished counted tries
+        self.served_by_class: Counter[str] = Counter()
+
+    def add_breach(self, rule: str, text: str) -> None:
+        """Record a breach of a rule that only the soak checks."""
         self.referee.breach(rule, time.monotonic_ns(), text)
 
     def breaches(self) -> tuple[str, ...]:
-        """All broken rules, a line each that begins with the rule's name."""
+        """Return all breaches, one line each, starting with the name of the rule."""
         return tuple(f"{one.rule}: {one.text}" for one in self.referee.breaches)
 
-    # ---- what excuses ----
+    # ---- permitted exceptions ----
 
     def died(self, balancer: str, now: float) -> None:
-        """A balancer was killed out of the blue: its requests may be cut off."""
-        self.killed.setdefault(balancer, []).append(int(now * 1e9))
+        """Record a SIGKILL without SIGTERM: the requests in flight may be lost."""
+        self.killed_at.setdefault(balancer, []).append(int(now * 1e9))
 
-    def excuse(self, balancer: str, sent: int, since: int, until: int) -> bool:
-        """See `Referee`: only a kill out of the blue excuses, no end that was ordered."""
-        return any(sent - SCHEDULING <= at <= until for at in self.killed.get(balancer, ()))
+    def excused_by_kill(self, balancer: str, sent: int, since: int, until: int) -> bool:
+        """See `Referee`: only a SIGKILL without SIGTERM excuses a lost request, a SIGTERM doesn't."""
+        return any(sent - SCHEDULING_SLACK <= at <= until for at in self.killed_at.get(balancer, ()))
 
-    def reached(self, balancer: str) -> int:
-        """Since when a balancer could have asked discovery at any instant."""
-        return max(self.cut_off_until, self.deaf.get(balancer, NEVER))
+    def discovery_reachable_since(self, balancer: str) -> int:
+        """Return since when a balancer has been able to reach discovery without interruption."""
+        return max(self.discovery_down_until, self.reachable_since.get(balancer, NEVER))
 
-    # ---- how late things may be seen ----
+    # ---- observation delays ----
 
-    def unseen(self, balancer: str) -> int:
-        """See `Referee`: how late this process was of late, and what kept the balancer from its work."""
+    def observation_slack(self, balancer: str) -> int:
+        """See `Referee`: recent delays of this process, plus the time the balancer could not run."""
         now = time.monotonic_ns()
-        kept = self.delays.get(balancer, deque())
-        for known in (self.lags, kept):
-            while known and known[0][0] < now - LATELY:
-                known.popleft()
-        lag = max((late for _, late in self.lags), default=0)
-        return READING + lag + sum(length for _, length in kept)
-
-    def held_up(self, balancer: str, seconds: float) -> None:
-        """A balancer is kept from its work for so long: by an ordered standstill, or by a busy machine."""
+        delays = self.balancer_delays.get(balancer, deque())
+        for recent in (self.own_lags, delays):
+            while recent and recent[0][0] < now - LAG_WINDOW:
+                recent.popleft()
+        lag = max((late for _, late in self.own_lags), default=0)
+        return READ_SLACK + lag + sum(length for _, length in delays)
+
+    def add_delay(self, balancer: str, seconds: float) -> None:
+        """Record that a balancer cannot run for this long: by an injected pause, or on a busy machine."""
         now = time.monotonic_ns()
-        self.delays.setdefault(balancer, deque()).append((now + int(seconds * S), int(seconds * S)))
+        self.balancer_delays.setdefault(balancer, deque()).append((now + int(seconds * S), int(seconds * S)))
 
-    async def watch_itself(self) -> None:
-        """Note how late this process is, until cancelled."""
+    async def watch_own_lag(self) -> None:
+        """Record how late this process runs, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + BEAT
-            await asyncio.sleep(BEAT)
+            due = loop.time() + LAG_CHECK_INTERVAL_S
+            await asyncio.sleep(LAG_CHECK_INTERVAL_S)
             late = time.monotonic_ns() - int(due * S)
-            if late > READING // 4:
-                self.lags.append((time.monotonic_ns(), late))
+            if late > READ_SLACK // 4:
+                self.own_lags.append((time.monotonic_ns(), late))
 
     # ---- clients ----
 
@@ -157,40 +161,40 @@
         """See `Account.sent`."""
         now = time.monotonic_ns()
         deadline = now + int(errand.deadline * 1e9)
-        usual = errand.leaves is None and not errand.pause and errand.to is None
-        if usual and now > self.troubled_until + RECOVERY:
-            self.counted.add(rid)
+        ordinary = errand.leaves is None and not errand.pause and errand.to is None
+        if ordinary and now > self.senders_disturbed_until + RECOVERY:
+            self.counted_tries.add(rid)
         self.referee.asked(now, rid, errand.name, errand.kind, self.names[to], deadline)
 
     def answered(self, errand: Errand, rid: str, to: Address, answer: Message) -> None:
         """See `Account.answered`."""
         kind = "served" if answer.status == 200 else "refused" if answer.status in (429, 503) else "failed"
         self.answers[kind] += 1
-        self._count(errand, rid, kind == "served")
+        self._count_try(errand, rid, kind == "served")
         self.referee.answered(
-            time.monotonic_ns(), rid, answer.status, without_filling(answer.body).decode("latin-1")
+            time.monotonic_ns(), rid, answer.status, without_padding(answer.body).decode("latin-1")
         )
 
     def broken(self, errand: Errand, rid: str, to: Address, begun: bool) -> None:
         """See `Account.broken`."""
         self.answers["cut off"] += 1
-        self._count(errand, rid, False)
-        self.referee.broken(time.monotonic_ns(), rid, False, begun and rid in self.spoilt)
+        self._count_try(errand, rid, False)
+        self.referee.broken(time.monotonic_ns(), rid, False, begun and rid in self.aborted_streams)
 
     def left(self, errand: Errand, rid: str, to: Address) -> None:
         """See `Account.left`."""
         self.answers["left"] += 1
         self.referee.gone(time.monotonic_ns(), rid)
 
-    def unserved(self, errand: Errand, rid: str, to: Address) -> None:
-        """A new connection on which was asked at once ended with no byte of an answer."""
+    def closed_unread(self, errand: Errand, rid: str, to: Address) -> None:
+        """Record a breach if a new connection was closed unanswered although its request was sent at once."""
         now = time.monotonic_ns()
         entry = self.referee.entries[rid]
-        if not errand.pause and not self.excuse(self.names[to], entry.sent, entry.sent, now):
-            since = (now - self.terminated.get(self.names[to], now)) / S
-            self.broken_by_rule(
+        if not errand.pause and not self.excused_by_kill(self.names[to], entry.sent, entry.sent, now):
+            since = (now - self.terminated_at.get(self.names[to], now)) / S
+            self.add_breach(
                 UNREAD,
-                f"{rid} is on a new connection to {self.names[to]} that ended with no answer, "
+                f"{rid}: new connection to {self.names[to]} closed without an answer "
                 f"{since:.3f} s after its SIGTERM",
             )
 
@@ -198,22 +202,22 @@
         """See `Account.extra`."""
         self.referee.extra(time.monotonic_ns(), self.names[to], data)
 
-    def _count(self, errand: Errand, rid: str, served: bool) -> None:
-        if rid in self.counted:
-            self.asked[errand.klass] += 1
-            self.served[errand.klass] += served
+    def _count_try(self, errand: Errand, rid: str, served: bool) -> None:
+        if rid in self.counted_tries:
+            self.tries_by_class[errand.klass] += 1
+            self.served_by_class[errand.klass] += served
 
     # ---- senders ----
 
     def arrived(self, sender: Sender, request: Message) -> None:
         """See `Witness.arrived`."""
-        link, now = self.link, time.monotonic_ns()
+        link, now = self.current_link, time.monotonic_ns()
         assert link is not None
         rid = link.request_id = request.headers["x-request-id"]
         entry = self.referee.entries.get(rid)
         balancer = entry.balancer if entry is not None else ""
-        self.referee.begun(link.began, balancer, sender.name, rid)
-        self.referee.first_byte(link.began, balancer, sender.name, rid)
+        self.referee.begun(link.first_byte_at, balancer, sender.name, rid)
+        self.referee.first_byte(link.first_byte_at, balancer, sender.name, rid)
         self.referee.deadline_told(now, rid, int(request.headers["x-deadline-ms"]) * MS)
         cost = float(request.query("cost") or 0)
         self.referee.written(now, rid, balancer, sender.name, sender.cell, link.number, cost)
@@ -225,8 +229,8 @@
 
     def turned_away(self, sender: Sender, request: Message) -> None:
         """See `Witness.turned_away`."""
-        assert self.link is not None
-        self.referee.disproved(self.link.number, request.headers["x-request-id"])
+        assert self.current_link is not None
+        self.referee.disproved(self.current_link.number, request.headers["x-request-id"])
 
     def fell(self, sender: Sender) -> None:
         """See `Witness.fell`."""
@@ -234,41 +238,45 @@
 
     # ---- discovery ----
 
-    def told(self, call: Call, generation: int, whole: bool, entries: list[Instance]) -> None:
-        """Discovery has written a list to a balancer: it counts as told, unless its calls fail just now."""
+    def list_written(self, call: Call, generation: int, whole: bool, entries: list[Instance]) -> None:
+        """Report a list written to a balancer, unless its system calls are failing by fault injection."""
         assert isinstance(call, NamedCall)
         now, balancer = time.monotonic_ns(), call.balancer
-        if self.deaf.get(balancer, NEVER) == NEVER:
+        if self.reachable_since.get(balancer, NEVER) == NEVER:
             return
-        for one in entries:
-            active = one.lifecycle == "active"
-            self.referee.told(now, balancer, one.id, active, one.started_ms > 0)
+        for instance in entries:
+            active = instance.lifecycle == "active"
+            self.referee.told(now, balancer, instance.id, active, instance.started_ms > 0)
         if whole:
-            self.referee.told_whole(now, balancer, {one.id for one in entries})
+            self.referee.told_whole(now, balancer, {instance.id for instance in entries})
 
-    def reborn(self, balancer: str, known: dict[str, Any]) -> None:
-        """A new process, which was given this list as it started."""
+    def balancer_restarted(self, balancer: str, known: dict[str, Any]) -> None:
+        """Report that a balancer starts a new process with this cached list."""
         self.referee.reborn(balancer)
         now = time.monotonic_ns()
         for row in known["instances"]:
             started = row["startedAtMs"] > 0
             self.referee.told(now, balancer, row["instanceId"], row["lifecycle"] == "active", started)
 
-    def _judge_floor(self, what: str, asked: int, served: int, floor: float) -> None:
+    def _check_share(self, what: str, asked: int, served: int, floor: float) -> None:
         if served < floor * asked:
-            self.broken_by_rule(SERVICE, f"{what}: {served} of {asked} are served, {floor:.0%} are wanted")
+            self.add_breach(
+                SERVICE, f"{what}: {served} of {asked} tries served, at least {floor:.0%} required"
+            )
 
-    def judge_service(self) -> None:
-        """Hold what is served while no sender is in trouble against floors: of all, and of each class."""
-        if self.asked.total() >= FEW:
-            self._judge_floor("all classes", self.asked.total(), self.served.total(), FLOOR)
-        for klass, asked in sorted(self.asked.items()):
-            if asked >= FEW:
-                self._judge_floor(klass, asked, self.served[klass], CLASS_FLOOR)
+    def check_service(self) -> None:
+        """Check the share of tries served outside sender faults: of all tries, and of each class."""
+        if self.tries_by_class.total() >= MIN_TRIES:
+            self._check_share(
+                "all classes", self.tries_by_class.total(), self.served_by_class.total(), MIN_SERVED_SHARE
+            )
+        for klass, asked in sorted(self.tries_by_class.items()):
+            if asked >= MIN_TRIES:
+                self._check_share(klass, asked, self.served_by_class[klass], MIN_CLASS_SERVED_SHARE)
 
 
-def without_filling(body: bytes) -> bytes:
-    """The line of a long answer that its sender made for the request, where all of the rest has come."""
+def without_padding(body: bytes) -> bytes:
+    """Return the first line of a streamed answer if its padding is complete or absent, else all of it."""
     line, _, rest = body.partition(b"\n")
     return line if rest in (b"", b"." * STREAM_PIECE * STREAM_PIECES) else body
 
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""What goes wrong in one run of the soak, drawn from its seed: faults that overlap in time."""
+"""Fault plan of one soak run, drawn from its seed; the faults overlap in time."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
     Kind.SHORT_WRITE: (),
     Kind.BROKEN: BROKEN_ERRORS,
 }
-STEPS = (-3600.0, -7.0, 5.0, 3600.0)  # seconds by which a wall clock is off
-MOST_STANDSTILL = 0.15  # seconds that a balancer is held up at once
-LAST_FAULT = 0.75  # of the run: no fault begins after it, so that all have ended with the requests
+CLOCK_STEPS_S = (-3600.0, -7.0, 5.0, 3600.0)  # by which a wall clock is wrong
+MAX_PAUSE_S = 0.15  # the longest single pause of a balancer
+LAST_FAULT_SHARE = 0.75  # of the run; no fault starts later, so that all are over when the load ends
 SOAK_SECONDS = 6.0
-MOST_BALANCERS, LEAST_BALANCERS = 12, 10
-ENDS = 4  # ends of processes in each run, beside those that are drawn as any other fault
-USUAL_SOCKETS, FEW_SOCKETS = 1024, 160  # descriptors that a daemon is told it may hold
+MAX_BALANCERS, MIN_BALANCERS = 12, 10
+TERMINATIONS = 4  # SIGTERMs in each run, in addition to those drawn like any other fault
+DEFAULT_SOCKET_LIMIT, LOW_SOCKET_LIMIT = 1024, 160  # the configured descriptor limit of a daemon
 DEADLINE_SHARES = {"status-check": 0.7, "reminder-set": 0.55, "sms-send": 1.0}  # of the longest deadline
 
 
 class Fault(StrEnum):
-    """What happens; `victim` of an episode is a balancer's or a sender's number, or nobody's."""
+    """A kind of fault: SENDER_* disturb a sender, DISCOVERY_* discovery, all others a balancer."""
 
     CALLS_FAIL = auto()
-    HELD_BEFORE_WRITES = auto()
+    WRITES_DELAYED = auto()
     STOPPED = auto()
     CLOCK_STEPPED = auto()
     TERMINATED = auto()
@@ -47,113 +47,113 @@
     RELOADED = auto()
     SENDER_HANGS = auto()
     SENDER_SLOW = auto()
-    SENDER_SPOILS = auto()
+    SENDER_FAULTY = auto()
     SENDER_DRAINS = auto()
     SENDER_DIES = auto()
     DISCOVERY_SILENT = auto()
     DISCOVERY_FAILS = auto()
 
 
-WEIGHTS = {
+WEIGHT_OVERRIDES = {
     Fault.CALLS_FAIL: 6,
-    Fault.HELD_BEFORE_WRITES: 2,
+    Fault.WRITES_DELAYED: 2,
     Fault.STOPPED: 2,
     Fault.SENDER_HANGS: 3,
     Fault.SENDER_DRAINS: 2,
     Fault.SENDER_DIES: 2,
 }
 FAULTS: tuple[Fault, ...] = tuple(Fault.__members__.values())
-SHARES = [WEIGHTS.get(one, 1) for one in FAULTS]
+FAULT_WEIGHTS = [WEIGHT_OVERRIDES.get(fault, 1) for fault in FAULTS]
 
 
 @dataclass(frozen=True, slots=True)
 class Episode:
-    """One fault; times in seconds from the beginning of the load."""
+    """One fault; times are in seconds from the start of the load."""
 
     fault: Fault
-    at: float
-    lasts: float
-    victim: int
-    kind: Kind = Kind.ACCEPT  # of the calls that fail
-    share: float = 0.0  # of calls that fail; of an end, when the process is held up
-    amount: float = 0.0  # seconds: of a step, of a standstill
-    times: int = 1  # signals in series
+    starts_at: float
+    duration: float
+    target: int  # number of the balancer or sender; unused for discovery
+    kind: Kind = Kind.ACCEPT  # which system calls fail
+    share: float = 0.0  # of the calls that fail; of the time from SIGTERM to SIGKILL, when the pause comes
+    amount: float = 0.0  # seconds: of a clock step or of a pause
+    signals: int = 1  # number of signals sent in a row
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One run."""
+    """The settings and faults of one run."""
 
     seed: int
     balancers: int
     senders: int
-    rate: float  # requests a second
-    cancelling: bool
-    pushed: bool
-    streams: float  # share of answers that come in pieces, without a length
-    leaving: float  # share of clients that go away early
+    rate: float  # requests per second
+    cancellation: bool  # whether balancers may cancel attempts
+    push_discovery: bool  # whether discovery pushes its lists, or is asked for them
+    stream_share: float  # share of answers streamed without a Content-Length
+    leave_share: float  # share of clients that disconnect before their answer
     episodes: tuple[Episode, ...]
-    seconds: float = SOAK_SECONDS  # of load
-    longest: float = 1.5  # seconds: the longest deadline of the deployment
-    crowd: int = 0  # idle connections that come to a balancer which is told to end
+    load_seconds: float = SOAK_SECONDS
+    longest_deadline: float = 1.5  # seconds, of any class
+    idle_connections: int = 0  # opened to a balancer at its SIGTERM
 
     def deadline(self, klass: str) -> float:
-        """Of a class, in seconds."""
-        return self.longest * DEADLINE_SHARES[klass]
+        """Return the deadline of a class in seconds."""
+        return self.longest_deadline * DEADLINE_SHARES[klass]
 
     @property
-    def sockets(self) -> int:
-        """Descriptors that a daemon is told it may hold: few where a crowd comes."""
-        return FEW_SOCKETS if self.crowd else USUAL_SOCKETS
+    def socket_limit(self) -> int:
+        """The configured descriptor limit of a daemon: low enough that idle connections use it up, if any."""
+        return LOW_SOCKET_LIMIT if self.idle_connections else DEFAULT_SOCKET_LIMIT
 
 
-def draw(seed: int) -> Plan:
-    """The same plan for the same seed."""
+def draw_plan(seed: int) -> Plan:
+    """Draw the plan of a seed; the same seed always gives the same plan."""
     random = Random(seed)
-    balancers, senders = random.randint(LEAST_BALANCERS, MOST_BALANCERS), random.randint(6, 10)
-    drawn = [_episode(random, balancers, senders) for _ in range(random.randint(10, 18))]
-    drawn += [_end(random, victim) for victim in random.sample(range(balancers), ENDS)]
-    episodes = tuple(sorted(drawn, key=lambda one: one.at))
+    balancers, senders = random.randint(MIN_BALANCERS, MAX_BALANCERS), random.randint(6, 10)
+    drawn = [_draw_episode(random, balancers, senders) for _ in range(random.randint(10, 18))]
+    drawn += [_draw_termination(random, target) for target in random.sample(range(balancers), TERMINATIONS)]
+    episodes = tuple(sorted(drawn, key=lambda episode: episode.starts_at))
     return Plan(
         seed=seed,
         balancers=balancers,
         senders=senders,
         rate=random.uniform(80, 160),
-        cancelling=random.random() < 0.5,
-        pushed=random.random() < 0.3,
-        streams=random.choice((0.0, 0.1, 0.4)),
-        leaving=random.choice((0.0, 0.1, 0.3)),
+        cancellation=random.random() < 0.5,
+        push_discovery=random.random() < 0.3,
+        stream_share=random.choice((0.0, 0.1, 0.4)),
+        leave_share=random.choice((0.0, 0.1, 0.3)),
         episodes=episodes,
-        longest=random.choice(LONGEST_DEADLINES),
-        crowd=random.choice((0, 0, 0, 200)),
+        longest_deadline=random.choice(LONGEST_DEADLINES),
+        idle_connections=random.choice((0, 0, 0, 200)),
     )
 
 
-def _end(random: Random, victim: int) -> Episode:
+def _draw_termination(random: Random, target: int) -> Episode:
     return Episode(
         Fault.TERMINATED,
-        at=random.uniform(0.3, SOAK_SECONDS * LAST_FAULT),
-        lasts=0.0,
-        victim=victim,
+        starts_at=random.uniform(0.3, SOAK_SECONDS * LAST_FAULT_SHARE),
+        duration=0.0,
+        target=target,
         share=random.random(),
-        amount=random.uniform(0.02, MOST_STANDSTILL),
-        times=random.randint(1, 3),
+        amount=random.uniform(0.02, MAX_PAUSE_S),
+        signals=random.randint(1, 3),
     )
 
 
-def _episode(random: Random, balancers: int, senders: int) -> Episode:
-    fault = random.choices(FAULTS, SHARES)[0]
+def _draw_episode(random: Random, balancers: int, senders: int) -> Episode:
+    fault = random.choices(FAULTS, FAULT_WEIGHTS)[0]
     of_senders = fault.name.startswith("SENDER")
     kind = random.choice(tuple(CALL_ERRORS))
     return Episode(
         fault=fault,
-        at=random.uniform(0.2, SOAK_SECONDS * LAST_FAULT),
-        lasts=random.uniform(0.2, 1.5),
-        victim=random.randrange(senders if of_senders else balancers),
+        starts_at=random.uniform(0.2, SOAK_SECONDS * LAST_FAULT_SHARE),
+        duration=random.uniform(0.2, 1.5),
+        target=random.randrange(senders if of_senders else balancers),
         kind=kind,
         share=random.uniform(0.05, 0.6),
-        amount=random.choice(STEPS)
+        amount=random.choice(CLOCK_STEPS_S)
         if fault is Fault.CLOCK_STEPPED
-        else random.uniform(0.02, MOST_STANDSTILL),
-        times=random.randint(1, 3),
+        else random.uniform(0.02, MAX_PAUSE_S),
+        signals=random.randint(1, 3),
     )
