--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -18,19 +18,19 @@
     parser.add_argument(
         "--program", default="-m dykeshift.node", help="the interpreter's arguments that start a daemon"
     )
-    given = parser.parse_args()
-    program = tuple(given.program.split())
+    args = parser.parse_args()
+    program = tuple(args.program.split())
     broken = 0
-    with ProcessPoolExecutor(given.jobs, max_tasks_per_child=1) as pool:
-        played = {pool.submit(play, seed, program): seed for seed in range(given.first, given.end)}
-        for future in as_completed(played):
+    with ProcessPoolExecutor(args.jobs, max_tasks_per_child=1) as pool:
+        seed_by_future = {pool.submit(play, seed, program): seed for seed in range(args.first, args.end)}
+        for future in as_completed(seed_by_future):
             try:
                 result = future.result()
             except Exception as exc:  # a run that could not be played counts as broken
-                result = Result(played[future], (f"not played: {exc!r}",), {}, {})
+                result = Result(seed_by_future[future], (f"not played: {exc!r}",), {}, {})
             broken += bool(result.breaches)
             print(to_json_line(result), flush=True)
-    print(f"{given.end - given.first} runs, {broken} broken", file=sys.stderr)
+    print(f"{args.end - args.first} runs, {broken} broken", file=sys.stderr)
     return 1 if broken else 0
 
 
--- a/tests/soak/hunt.py
+++ b/tests/soak/hunt.py
@@ -33,9 +33,11 @@
     """Play seeds from `first` on, `jobs` at once, until one finds the defect or `most` have been played."""
     for begin in range(0, most, jobs):
         seeds = range(first + begin, first + min(begin + jobs, most))
-        played = {pool.submit(find_broken_rule, defect.name, seed): seed for seed in seeds}
+        seed_by_future = {pool.submit(find_broken_rule, defect.name, seed): seed for seed in seeds}
         found = sorted(
-            (played[future], future.result()) for future in as_completed(played) if future.result()
+            (seed_by_future[future], future.result())
+            for future in as_completed(seed_by_future)
+            if future.result()
         )
         if found:
             return HuntResult(found[0][0], begin + len(seeds), found[0][1])
@@ -49,17 +51,17 @@
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--most", type=int, default=0, help="runs per defect; 0: the limit of its size")
     parser.add_argument("--only", default="", help="defect names or parts of them, separated by |")
-    given = parser.parse_args()
+    args = parser.parse_args()
     missed = 0
     print(
         "| rule | defect | size | found as | by seed | runs played |\n| --- | --- | --- | --- | --- | --- |"
     )
-    with ProcessPoolExecutor(given.jobs, max_tasks_per_child=1) as pool:
+    with ProcessPoolExecutor(args.jobs, max_tasks_per_child=1) as pool:
         for defect in DEFECTS:
-            if not any(part in defect.name for part in given.only.split("|")):
+            if not any(part in defect.name for part in args.only.split("|")):
                 continue
-            most = given.most or MAX_RUNS[defect.size]
-            found = hunt(defect, given.first, most, pool, given.jobs)
+            most = args.most or MAX_RUNS[defect.size]
+            found = hunt(defect, args.first, most, pool, args.jobs)
             missed += not found.rule
             seed = str(found.seed) if found.rule else ""
             print(
