--- a/dykeshift/configuration/__init__.py
+++ b/dykeshift/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration as versioned resources: deltas, scopes, phases."""
+"""Replicated configuration: versioned resources, transactions on them, and delivery to subscribers."""
--- a/dykeshift/configuration/acting.py
+++ b/dykeshift/configuration/acting.py
@@ -1,8 +1,7 @@
-"""What a balancer acts on, by the resources that it holds: the body in force, and in a joint phase the meet.
+"""The configuration that a balancer acts on: the body in force or, in a joint phase, the meet of both bodies.
 
-In a joint phase nobody may do by the old body what the new one forbids, nor the other way. Each function here
-gives the value that allows only what both allow; it does not matter how many resources are in their joint
-phases at once.
+In a joint phase a balancer must not do what either of the two bodies forbids. The functions here return the
+meet, the value that allows only what both bodies allow, however many resources are in a joint phase at once.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
     Service,
     decode_body,
 )
-from dykeshift.configuration.translate import Words, settings_of
+from dykeshift.configuration.translate import SettingsDict, settings_of
 from dykeshift.interface import Idempotency, RequestClass, Settings
 from dykeshift.settings import narrower
 from dykeshift.versions.terms import meet
@@ -33,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ActingRoute:
-    """Where the requests of a route go at this instant, and by which terms."""
+    """The service and the class terms that currently apply to the requests of a route."""
 
     service: str
     request_class: RequestClass
 
 
 def bodies(resource: Resource) -> Iterator[Body]:
-    """The body in force and the one that comes, as far as there are any."""
+    """The body in force and the joint body, where they exist."""
     for data in (resource.body, resource.joint.body if resource.joint is not None else None):
         if data is not None:
             yield decode_body(resource.key.kind, data)
@@ -57,7 +56,7 @@
 
 
 def acting_route(resource: Resource, lookup: Lookup) -> ActingRoute | None:
-    """A route with the terms of its class; None while it, or its class, is not in force."""
+    """A route with the terms of its class; None while the route or its class is not in force."""
     if resource.body is None:
         return None
     found = list[ActingRoute]()
@@ -71,16 +70,19 @@
 
 
 def _meet_of_routes(one: ActingRoute, other: ActingRoute) -> ActingRoute:
-    """The first one's service; a repeat could reach the other one's, which knows nothing of the request."""
+    """The first service with the narrower terms. With two services a retry could reach the one that has not
+    seen the request, so anything but a safe class must not be repeated."""
     terms = narrower(one.request_class, other.request_class)
     if one.service != other.service and terms.idempotency is not Idempotency.SAFE:
         terms = replace(terms, idempotency=Idempotency.UNSAFE)
     return replace(one, request_class=terms)
 
 
-def acting_settings(resources: Iterable[Resource], service: str, own: Words | None = None) -> Settings | None:
-    """All classes and the terms of one service; None while the service is not in force. `own`: the words that
-    are the balancer's own."""
+def acting_settings(
+    resources: Iterable[Resource], service: str, own: SettingsDict | None = None
+) -> Settings | None:
+    """All classes and the terms of one service; None while the service is not in force. `own`: settings that
+    each balancer has for itself."""
     held = [r for r in resources if r.key.kind is Kind.CLASS or r.key == Key(Kind.SERVICE, service)]
     old = _settings_from({r.key: r.body for r in held}, own)
     if old is None or all(r.joint is None or r.body is None for r in held):
@@ -89,7 +91,7 @@
     return old if new is None else meet(old, new)
 
 
-def _settings_from(held: dict[Key, bytes | None], own: Words | None) -> Settings | None:
+def _settings_from(held: dict[Key, bytes | None], own: SettingsDict | None) -> Settings | None:
     terms: Service | None = None
     classes = list[tuple[str, ClassTerms]]()
     for key, data in held.items():
@@ -101,14 +103,14 @@
     return settings_of(terms, classes, own) if terms is not None else None
 
 
-def servers_out(resources: Iterable[Resource], service: str) -> frozenset[str]:
-    """The servers of a service that get nothing new: a ban in its joint phase holds, come or go."""
+def banned_servers(resources: Iterable[Resource], service: str) -> frozenset[str]:
+    """The banned servers of a service; a ban in its joint phase, being added or lifted, counts."""
     found = (body for r in resources if r.key.kind is Kind.BAN for body in bodies(r))
     return frozenset(body.server for body in found if isinstance(body, Ban) and body.service == service)
 
 
 def list_names(resources: Iterable[Resource], word: str, service: str) -> frozenset[str]:
-    """The names of a list word, of this service and of every one; in a joint phase the old and the new."""
+    """The names in a list, for this service and for all; in a joint phase the old and the new names."""
     found = (body for r in resources if r.key.kind is Kind.LIST_WORD for body in bodies(r))
     return frozenset(
         name
@@ -118,8 +120,8 @@
     )
 
 
-def in_doubt(resources: Iterable[Resource], service: str) -> Literal["serve", "refuse"]:
-    """What a balancer without a lease does: refusing is the meet."""
+def action_without_lease(resources: Iterable[Resource], service: str) -> Literal["serve", "refuse"]:
+    """What a balancer without a lease does with requests; in a joint phase `refuse` wins."""
     return "refuse" if "refuse" in list_names(resources, "doubt", service) else "serve"
 
 
--- a/dykeshift/configuration/catch_up.py
+++ b/dykeshift/configuration/catch_up.py
@@ -1,22 +1,23 @@
-"""How a subscriber gets what it lacks: parts in the order of versions, staged, and shown only when whole.
+"""Catch-up of subscribers: missing changes are sent in parts, staged, and applied only when complete.
 
-Theory of operation. A scope's resources have an order: by the version that wrote them, then by key. Whatever
-changes moves to the end of that order. So a *position* in it says all about what a subscriber has: everything
-up to there, as it is in the store now or was when it was sent; what has changed since stands behind it.
+Theory of operation. The resources of a scope are ordered by the version that last wrote them, then by key. A
+change moves a resource to the end of that order. So a *position* in it describes completely what a subscriber
+has received: everything up to there, in its current state or as it was when sent; whatever has changed since
+comes after the position.
 
-A *part* is what follows a position, up to a few kilobytes. The last one leads up to the store's version of
-that moment (`target`) and carries the digest of the whole scope. Until then the parts are staged beside what
-the subscriber acts on. A replica needs no memory of earlier parts, so any replica goes on where another
-stopped, and a part that was lost on the way is the only thing that is sent twice.
+A *part* contains the resources after a position, up to a few kilobytes. The last part reaches the current
+version of the store (`target`) and carries the digest of the whole scope. Until then the parts are staged
+separately from the version that the subscriber acts on (the *shown* version). A replica keeps no state about
+earlier parts, so any replica can continue where another one stopped, and only lost parts are sent again.
 
-From nothing (`fresh`) the order begins at version 0; tombstones are needed only of what was deleted since
-the staging began (`floor`). Otherwise it begins at the version that the subscriber shows, which is the floor
-too. Where the store has forgotten tombstones from before the floor, the staging begins anew from nothing.
+Starting from nothing (`fresh`), the order begins at version 0, and tombstones are needed only for deletions
+after the staging began (`floor`). Otherwise it begins at the shown version, which is also the floor. If the
+store no longer has the tombstones since the floor, staging starts over from nothing.
 
-Promises:
- 1. Staged parts up to a last one, on top of what was shown (or of nothing), are the scope at `target`.
+Invariants:
+ 1. The staged parts up to a last one, on top of the shown state or of nothing, give the scope at `target`.
  2. A part that does not continue the position, is out of order or outside the scope changes nothing.
- 3. Neither side holds more than a part beyond what is staged.
+ 3. Neither side holds more than one part in addition to what is staged.
 """
 
 from __future__ import annotations
@@ -32,36 +33,36 @@
 from dykeshift.configuration.scope import Scope
 from dykeshift.configuration.wire import LONGEST_CURSOR
 
-PART_BYTES = 8192  # of a part's resources; a single larger one goes alone
+PART_BYTES = 8192  # of the resources in a part; a larger resource is sent in a part of its own
 CHECKSUM_BYTES = 8
-DIGEST_MASK = (1 << 64) - 1  # of a scope's digest, the part that is sent
+DIGEST_MASK = (1 << 64) - 1  # the bits of a scope's digest that are sent
 
 
 class Source(Protocol):
-    """What a replica reads: the store, as `dykeshift.configuration.store.ConfigStore` has it."""
+    """The part of `dykeshift.configuration.store.ConfigStore` that a replica reads."""
 
     @property
     def version(self) -> int:
-        """Of the last change."""
+        """The version of the store."""
 
     def snapshot_needed(self, version: int) -> bool:
-        """Whether the changes since a version are not known any more."""
+        """Whether changes since a version may have been compacted away."""
 
     def changes_since(self, version: int, scope: Scope) -> tuple[Resource, ...]:
-        """In the order of versions, tombstones too."""
+        """The changes in a scope since a version, including tombstones, in version order."""
 
     def scoped(self, scope: Scope) -> tuple[Resource, ...]:
-        """All live resources of a scope in the order of versions."""
+        """All live resources of a scope in version order."""
 
     def digest(self, scope: Scope) -> int:
-        """A number that tells what a scope holds."""
+        """A digest of the live resources of a scope."""
 
 
 class Position(Struct, frozen=True, array_like=True):
-    """How far a subscriber has come: everything up to `version`, of that version up to `key` (None: all).
+    """How far a subscriber has caught up: up to `version` and, within that version, up to `key` (None: all).
 
-    `floor`: tombstones up to this version are not needed. `fresh`: what is staged stands alone, it does not
-    build on what is shown.
+    `floor`: tombstones up to this version are not needed. `fresh`: the staged parts start from nothing and
+    replace the shown state instead of changing it.
     """
 
     floor: int = 0
@@ -74,12 +75,12 @@
 
 
 def shown_position(version: int) -> Position:
-    """The position of who shows a version and has staged nothing."""
+    """The position of a subscriber that shows a version and has staged nothing."""
     return Position(version, version, None, fresh=False) if version else NOTHING
 
 
 class Part(Struct, frozen=True, array_like=True):
-    """What follows `start`. `after`: the position behind it; None: this is the last part up to `target`."""
+    """The resources after `start`. `after`: the position at the end; None: the last part, up to `target`."""
 
     start: Position
     after: Position | None
@@ -89,7 +90,7 @@
 
 
 class PartError(Exception):
-    """Bytes that are no part, or a part that does not continue what is staged; its text says why."""
+    """A part is malformed or does not continue the staged ones; the text says why."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -102,24 +103,24 @@
 
 
 def pack_part(part: Part) -> bytes:
-    """The bytes of a part, with a checksum over all of it."""
+    """Encode a part, followed by a checksum."""
     data = _encoder.encode(part)
     return data + _checksum(data)
 
 
 def unpack_part(data: bytes) -> Part:
-    """PartError where the bytes are none."""
+    """Decode a part; raises PartError if it is malformed."""
     body, checksum = data[:-CHECKSUM_BYTES], data[-CHECKSUM_BYTES:]
     if _checksum(body) != checksum:
-        raise PartError("its checksum is another")
+        raise PartError("checksum mismatch")
     try:
         return _part_decoder.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise PartError(f"no part: {error}") from None
+        raise PartError(f"malformed part: {error}") from None
 
 
 def pack_position(position: Position) -> bytes:
-    """The bytes of a position; where its key is too long for a datagram, of the one before its version."""
+    """Encode a position; if its key is too long for a datagram, the position before its version."""
     data = _encoder.encode(position)
     if len(data) <= LONGEST_CURSOR:
         return data
@@ -127,7 +128,7 @@
 
 
 def unpack_position(data: bytes) -> Position:
-    """The position; what is none is that of who has nothing."""
+    """Decode a position; malformed bytes give the position of a subscriber that has nothing."""
     try:
         return _position_decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError):
@@ -139,14 +140,14 @@
 
 
 def _is_behind(resource: Resource, position: Position) -> bool:
-    """Whether the resource follows the position."""
+    """Whether a resource comes after a position."""
     if resource.version != position.version:
         return resource.version > position.version
     return position.key is not None and resource.key > position.key
 
 
 def remaining(source: Source, scope: Scope, position: Position) -> list[Resource]:
-    """All that follows a position whose floor the store remembers, in order."""
+    """All resources after a position, in order; the store must still have the tombstones since the floor."""
     first = position.version - 1 if position.key is not None else position.version
     found: Iterable[Resource]
     if position.version and not source.snapshot_needed(first):
@@ -158,20 +159,20 @@
 
 
 def start_of(source: Source, position: Position) -> Position:
-    """Where to go on from: the position itself, or nothing where the store can't continue it."""
+    """The position to continue from: the given one, or the beginning if the store cannot continue it."""
     if position.version == 0 or position.version > source.version or source.snapshot_needed(position.floor):
         return Position(floor=source.version)
     return position
 
 
-def build_part(source: Source, scope: Scope, position: Position, most_bytes: int = PART_BYTES) -> Part:
-    """The part that follows a position."""
+def build_part(source: Source, scope: Scope, position: Position, max_bytes: int = PART_BYTES) -> Part:
+    """Build the part that follows a position."""
     start = start_of(source, position)
     left = remaining(source, scope, start)
     count, size = 0, 0
     for resource in left:
         size += len(_encoder.encode(resource))
-        if count and size > most_bytes:
+        if count and size > max_bytes:
             break
         count += 1
     if count == len(left):
@@ -182,26 +183,26 @@
 
 
 class Staging:
-    """The parts that a subscriber has taken beside what it shows."""
+    """The parts that a subscriber has received but does not act on yet."""
 
-    def __init__(self, scope: Scope, shown: int, most_bytes: int) -> None:
-        """`most_bytes`: of all that may be staged."""
+    def __init__(self, scope: Scope, shown: int, max_bytes: int) -> None:
+        """`max_bytes`: limit for all staged resources."""
         self.scope = scope
-        self.most_bytes = most_bytes
+        self.max_bytes = max_bytes
         self.reset(shown)
 
     def reset(self, shown: int) -> None:
-        """Nothing is staged on top of what is shown."""
+        """Drop everything staged; `shown` is the version that the subscriber acts on."""
         self.position = shown_position(shown)
         self.resources: dict[Key, Resource] = {}
         self.size = 0
 
     def take(self, part: Part) -> bool:
-        """Stage a part; whether it was the last one. PartError where it does not fit; it changes nothing."""
+        """Stage a part; returns whether it was the last. Raises PartError, changing nothing, if invalid."""
         restarts = part.start.fresh and part.start.version == 0
-        part = self._without_known(part)
+        part = self._without_shown(part)
         if part.start != self.position and not restarts:
-            raise PartError("it does not continue what is staged")
+            raise PartError("part does not continue the staged position")
         self._check(part, restarts)
         if restarts:
             self.reset(0)
@@ -213,8 +214,8 @@
             self.position = part.start
         return part.after is None
 
-    def _without_known(self, part: Part) -> Part:
-        """A part from an earlier shown version on: without what the one that is shown now has already."""
+    def _without_shown(self, part: Part) -> Part:
+        """Drop resources that are already shown from a part that was built for an earlier shown version."""
         shown, start = self.position.version, part.start
         if self.position != shown_position(shown) or start != shown_position(start.version):
             return part
@@ -228,16 +229,16 @@
         for resource in part.resources:
             if not _is_behind(resource, previous) or resource.version > part.target:
                 raise PartError(f"{resource.key} is out of order")
-            if not self._belongs(resource):
+            if not self._in_scope(resource):
                 raise PartError(f"{resource.key} is outside the scope")
             previous = Position(previous.floor, resource.version, resource.key, previous.fresh)
         if part.after is not None and (not part.resources or part.after != previous):
-            raise PartError("it does not end where it says")
+            raise PartError("part does not end at the position that it states")
         staged = 0 if restarts else self.size
-        if staged + sum(_footprint(r) for r in part.resources) > self.most_bytes:
-            raise PartError(f"more than {self.most_bytes} bytes would be staged")
+        if staged + sum(_footprint(r) for r in part.resources) > self.max_bytes:
+            raise PartError(f"staging limit of {self.max_bytes} bytes exceeded")
 
-    def _belongs(self, resource: Resource) -> bool:
+    def _in_scope(self, resource: Resource) -> bool:
         try:
             return not resource.live or self.scope.matches(resource)
         except BodyError:
@@ -245,6 +246,6 @@
 
 
 def _footprint(resource: Resource) -> int:
-    """Bytes that a resource counts for: its texts and what Python's objects need beside them."""
+    """Estimated memory of a resource: its name and bodies, plus a flat 200 bytes for the Python objects."""
     joint = resource.joint.body if resource.joint is not None else None
     return 200 + len(resource.key.name) + len(resource.body or b"") + len(joint or b"")
--- a/dykeshift/configuration/coordinator.py
+++ b/dykeshift/configuration/coordinator.py
@@ -1,26 +1,26 @@
-"""Who leads the log leads transactions through their phases: what is proposed next, and not before when.
+"""The coordinator of transactions: the leader of the log proposes their phase changes, each as soon as safe.
 
-Theory of operation. A balancer acts on guarded terms only while it holds a lease, and a lease shows all that
-was committed a lease ago. Each replica says up to which version it is *fenced*: nobody acts, or ever will, on
-an older version by a lease of its own granting (`replica.py`). So a joint phase that began with version j is
-over, and nobody acts on the old body alone, as soon as one of these holds:
+Theory of operation. A balancer acts on guarded terms only while it holds a lease, and holding a lease implies
+having everything that was committed one lease duration ago. Each replica reports the version at which it is
+*fenced*: no subscriber acts, now or later, on an older version under a lease that this replica granted
+(`replica.py`). A joint phase that began at version j is over, and no balancer acts on the old body alone, as
+soon as one of these holds:
 
- a. every replica of the tier has said that it is fenced at j or later;
- b. a lease, and the drift of both clocks, have passed since this process saw j committed.
+ a. every replica of the tier has reported that it is fenced at j or later;
+ b. the lease duration, plus the drift of both clocks, has passed since this process saw j committed.
 
-In quiet (a) comes about within a second; with a subscriber that is cut off its replica is fenced when its
-lease is over; with a replica that is silent (b) decides. A fence is a fact about the past: it stays true
-whoever leads. This process holds nothing that could be lost but such facts and the time of (b); who leads
-later only waits longer.
+Normally (a) holds within a second. If a subscriber is partitioned, its replica is fenced once the lease has
+expired. If a replica is silent, (b) applies. A fence is a fact about the past and stays true whoever leads.
+The coordinator keeps only such facts and the time for (b), all in memory: a new leader merely waits longer.
 
-What is proposed names the version of the store that it builds on, so two that take themselves for leaders do
-no harm.
+Every proposal names the store version that it builds on, so two processes that both believe to be the leader
+do no harm.
 
-Promises:
- 1. COMMITTED is proposed for a guarded transaction only when nobody acts on any of its old bodies alone.
- 2. Every transaction under way comes to its end while somebody leads: guarded ones after (a) or (b), checked
-    ones at `check_limit` at the latest.
- 3. Transactions that touch each other are proposed in the order in which they came (queue.py).
+Invariants:
+ 1. COMMITTED is proposed for a guarded transaction only when no balancer acts on any of its old bodies alone.
+ 2. While there is a leader every pending transaction ends: guarded ones after (a) or (b), checked ones after
+    `check_limit` at the latest.
+ 3. Conflicting transactions are proposed in the order in which they were submitted (queue.py).
 """
 
 from __future__ import annotations
@@ -38,29 +38,29 @@
     Phase,
     Transaction,
 )
-from dykeshift.configuration.validation import Objection, Running
+from dykeshift.configuration.validation import Objection, RunningServers
 
 SECOND = 1_000_000_000
-MOST_ABORTS = 64  # wishes to abort that are remembered
+MAX_ABORT_REQUESTS = 64  # requested aborts that are remembered
 
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorOptions:
-    """Times in nanoseconds. `lease`: of subscribers, as the replicas grant it."""
+    """Times in nanoseconds. `lease`: duration of the leases that replicas grant to subscribers."""
 
     lease: int = 5 * SECOND
-    drift: float = 0.01  # the part by which one clock may run faster or slower
-    check_limit: int = 20 * SECOND  # for a checked transaction to be approved
+    drift: float = 0.01  # relative rate error of a clock, in either direction
+    check_limit: int = 20 * SECOND  # time within which a checked transaction must be approved
 
     @property
     def lease_wait(self) -> int:
-        """By a clock that may run too fast: the lease has passed in truth, by a clock that may run slow."""
+        """Time after which, by a clock that may run fast, a lease has expired by one that may run slow."""
         return int(self.lease * (1 + 4 * self.drift))
 
 
 @dataclass(frozen=True, slots=True)
 class FenceReport:
-    """A replica's word: nobody has, or will have, a lease by it on a version of `lineage` before `fenced`."""
+    """A replica's report: no lease by it is, or will be, held on a version of `lineage` before `fenced`."""
 
     number: int
     lineage: int
@@ -69,62 +69,66 @@
 
 @dataclass(slots=True)
 class Coordinator:
-    """One process's part in leading transactions; it proposes only while it leads."""
+    """The coordinator of one process; it proposes only while the process leads the log."""
 
     options: CoordinatorOptions
     store: ConfigStore
-    replicas: frozenset[int]  # numbers of all that may grant leases, itself too where it does
+    replicas: frozenset[int]  # numbers of all that may grant leases, including this process if it does
     lineage: int = 0
     queue: TransactionQueue = field(default_factory=TransactionQueue)
-    fences: dict[int, int] = field(default_factory=dict)  # by replica
+    fences: dict[int, int] = field(default_factory=dict)  # fenced version by replica
     approved: set[int] = field(default_factory=set)
     aborts: dict[int, str] = field(default_factory=dict)
-    seen: dict[int, tuple[int, int]] = field(default_factory=dict)  # by ident: version of the phase, and when
-    settled: int = 0  # nobody acts on an older version
-    settling: list[tuple[int, int]] = field(default_factory=list)  # versions, and when each was seen
+    seen: dict[int, tuple[int, int]] = field(
+        default_factory=dict
+    )  # by ident: the version that began its phase, and when it was first seen
+    settled: int = 0  # no balancer acts on an older version
+    settling: list[tuple[int, int]] = field(
+        default_factory=list
+    )  # later versions, and when each was first seen
 
     def enter(self, lineage: int) -> None:
-        """The store belongs to this history from now on: what was said of another one says nothing."""
+        """Switch to another lineage (history) of the store; facts about the previous one are dropped."""
         if lineage != self.lineage:
             self.lineage, self.settled = lineage, 0
             self.fences.clear()
             self.seen.clear()
             self.settling.clear()
 
-    # ---- wishes ----
+    # ---- requests ----
 
     def submit(self, transaction: Transaction) -> Objection | None:
-        """To be proposed in its turn; the objection where it is not even taken."""
+        """Queue a transaction to be proposed; returns an objection if the queue is full."""
         return self.queue.add(transaction)
 
     def approve(self, ident: int) -> None:
-        """A checked transaction may go on."""
+        """Let a checked transaction proceed."""
         if ident in self.store.pending:
             self.approved.add(ident)
 
     def abort(self, ident: int, reason: str) -> None:
-        """A transaction under way is to go back to what was in force."""
-        if ident in self.store.pending and len(self.aborts) < MOST_ABORTS:
+        """Request that a pending transaction is aborted."""
+        if ident in self.store.pending and len(self.aborts) < MAX_ABORT_REQUESTS:
             self.aborts[ident] = reason[:LONGEST_REASON]
 
-    # ---- what is known ----
+    # ---- observations ----
 
     def on_fence(self, report: FenceReport) -> None:
-        """A replica's report, in any order, late or again."""
+        """Record the report of a replica; reports may be reordered, late or repeated."""
         if report.lineage == self.lineage and report.number in self.replicas:
             self.fences[report.number] = max(report.fenced, self.fences.get(report.number, 0))
 
     def fenced(self) -> int:
-        """The version that all replicas are fenced at."""
+        """The version at which all replicas are fenced."""
         return min((self.fences.get(number, 0) for number in self.replicas), default=0)
 
     def behind(self, version: int) -> tuple[int, ...]:
-        """The replicas that have not said that they are fenced at this version, by number."""
+        """The numbers of the replicas that have not reported a fence at this version or later."""
         return tuple(sorted(n for n in self.replicas if self.fences.get(n, 0) < version))
 
     def look(self, now: int) -> None:
-        """Notes the store's version and the phases, with the time of this process's clock. To be called when
-        the store has a later version, and as often as progress is wanted."""
+        """Record when the store's version and the phases of transactions were first seen. Call this when the
+        store has a later version, and regularly."""
         version = self.store.version
         if version > self.settled and (not self.settling or self.settling[-1][0] < version):
             self.settling.append((version, now))
@@ -140,10 +144,10 @@
         self.approved &= pending.keys()
         self.aborts = {ident: reason for ident, reason in self.aborts.items() if ident in pending}
 
-    # ---- what is to be proposed ----
+    # ---- proposals ----
 
-    def next(self, now: int, running: Running | None = None) -> Entry | None:
-        """What whoever leads proposes now, on the version that the store has; None: nothing yet."""
+    def next(self, now: int, running: RunningServers | None = None) -> Entry | None:
+        """The entry that the leader proposes now, on the current version of the store; None: nothing yet."""
         self.look(now)
         for advance in self._advances(now):
             return advance
@@ -166,7 +170,7 @@
         return Advance(ident, Phase.JOINT if pending.guarded else Phase.COMMITTED)
 
     def _joint_is_over(self, now: int, ident: int, pending: Pending) -> bool:
-        """Whether nobody acts on an old body alone: by (a) or by (b)."""
+        """Whether no balancer acts on an old body alone any more, by condition (a) or (b)."""
         if self.fenced() >= pending.since:
             return True
         return now - self.seen[ident][1] >= self.options.lease_wait
--- a/dykeshift/configuration/queue.py
+++ b/dykeshift/configuration/queue.py
@@ -1,14 +1,14 @@
-"""Transactions that wait to be proposed: those that touch each other in the order in which they came.
+"""A queue of transactions to propose, which keeps the order among those that conflict with each other.
 
-Theory of operation. Whoever proposes adds transactions and asks for the next one that may go. One that
-touches a transaction under way (`Cause.CONFLICT`), or an earlier one of this queue that waits itself, waits;
-all others pass it. One with any other objection is refused and leaves. A transaction stays until the store
-has decided it, so asking twice gives the same one.
+Theory of operation. The proposer adds transactions and asks for the next one to propose. A transaction that
+conflicts with a pending one (`Cause.CONFLICT`), or with an earlier blocked one of this queue, is blocked;
+others may overtake it. One with any other objection is refused and removed. A transaction stays queued until
+the store has decided it, so asking twice returns the same one.
 
-Promises:
- 1. Of two that touch each other the later one is never given before the earlier one has been decided.
- 2. What touches nothing that waits or is under way never waits.
- 3. At most `MOST_WAITING` wait.
+Invariants:
+ 1. Of two conflicting transactions the later one is never returned before the earlier one has been decided.
+ 2. A transaction that conflicts with no queued or pending one is never blocked.
+ 3. At most `MAX_QUEUED` transactions are queued.
 """
 
 from __future__ import annotations
@@ -19,42 +19,42 @@
 from dykeshift.configuration.resources import BodyError, Key, decode_body
 from dykeshift.configuration.store import ConfigStore
 from dykeshift.configuration.transactions import Transaction
-from dykeshift.configuration.validation import Cause, Objection, Running
+from dykeshift.configuration.validation import Cause, Objection, RunningServers
 
-MOST_WAITING = 256
+MAX_QUEUED = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Waiting:
-    """A transaction, the keys that it writes and all that it touches."""
+    """A queued transaction, the keys that it writes, and all keys that it writes, expects or references."""
 
     transaction: Transaction
     written: frozenset[Key]
     touched: frozenset[Key]
 
     def touches(self, other: Waiting) -> bool:
-        """Whether one of them writes what the other one touches."""
+        """Whether two transactions conflict: one writes a key that the other one touches."""
         return bool(self.written & other.touched or other.written & self.touched)
 
 
 @dataclass(slots=True)
 class TransactionQueue:
-    """Waiting transactions, oldest first; `refused`: those that left with an objection, until taken."""
+    """Queued transactions, oldest first; `refused`: objections to removed ones, the last `MAX_QUEUED`."""
 
     waiting: dict[int, Waiting] = field(default_factory=dict)  # by ident
     refused: dict[int, Objection] = field(default_factory=dict)
 
     def add(self, transaction: Transaction) -> Objection | None:
-        """Why it is not taken; None where it is, or was already."""
+        """Add a transaction; returns an objection if the queue is full. Adding it again has no effect."""
         if transaction.ident in self.waiting:
             return None
-        if len(self.waiting) >= MOST_WAITING:
-            return Objection(Cause.LIMIT, f"{MOST_WAITING} transactions wait already")
-        self.waiting[transaction.ident] = _waiting(transaction)
+        if len(self.waiting) >= MAX_QUEUED:
+            return Objection(Cause.LIMIT, f"{MAX_QUEUED} transactions wait already")
+        self.waiting[transaction.ident] = _queued(transaction)
         return None
 
-    def next(self, store: ConfigStore, running: Running | None = None) -> Transaction | None:
-        """The first that may be proposed now. Those that were decided, or are refused, leave."""
+    def next(self, store: ConfigStore, running: RunningServers | None = None) -> Transaction | None:
+        """The first transaction that can be proposed now. Decided and refused ones are removed."""
         blocked = list[Waiting]()
         for ident, one in list(self.waiting.items()):
             if store.decided(ident):
@@ -71,17 +71,17 @@
             else:
                 del self.waiting[ident]
                 self.refused[ident] = objection
-                while len(self.refused) > MOST_WAITING:
+                while len(self.refused) > MAX_QUEUED:
                     del self.refused[next(iter(self.refused))]
         return None
 
 
-def _waiting(transaction: Transaction) -> Waiting:
+def _queued(transaction: Transaction) -> Waiting:
     written = frozenset(transaction.written_keys())
     touched = set(written) | set(transaction.expected)
     for put in transaction.puts:
         try:
             touched.update(references(decode_body(put.key.kind, put.body)))
         except BodyError:
-            continue  # the store says so when its turn comes
+            continue  # reported by validation when its turn comes
     return Waiting(transaction, written, frozenset(touched))
--- a/dykeshift/configuration/references.py
+++ b/dykeshift/configuration/references.py
@@ -1,4 +1,4 @@
-"""Which resource names which: a route its service and class; a tenant, a ban, a list word its services."""
+"""References between resources: routes to services and classes; tenants, bans and list words to services."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def references(body: Body) -> tuple[Key, ...]:
-    """The keys that a body names."""
+    """The keys that a body references."""
     if isinstance(body, Route):
         return Key(Kind.SERVICE, body.service), Key(Kind.CLASS, body.request_class)
     if isinstance(body, Tenant):
@@ -19,18 +19,18 @@
 
 
 class ReferenceIndex:
-    """Who names a key, by the kind of who does."""
+    """A reverse index: the keys that reference a key, by the kind of the referring resource."""
 
     def __init__(self) -> None:
         self.named: dict[tuple[Key, Kind], set[Key]] = {}
 
     def add(self, key: Key, body: Body) -> None:
-        """This key has this body from now on."""
+        """Add the references of a body that a key now has."""
         for target in references(body):
             self.named.setdefault((target, key.kind), set()).add(key)
 
     def remove(self, key: Key, body: Body) -> None:
-        """This key has this body no more."""
+        """Remove the references of a body that a key no longer has."""
         for target in references(body):
             names = self.named.get((target, key.kind))
             if names is not None:
@@ -38,10 +38,10 @@
                 if not names:
                     del self.named[target, key.kind]
 
-    def of_kind(self, target: Key, kind: Kind) -> set[Key]:
-        """The keys of a kind that name a key; not to be changed."""
+    def referrers_of_kind(self, target: Key, kind: Kind) -> set[Key]:
+        """The keys of a kind that reference a key; callers must not modify the set."""
         return self.named.get((target, kind)) or set()
 
-    def all(self, target: Key) -> list[Key]:
-        """All keys that name a key."""
-        return [key for kind in Kind for key in self.of_kind(target, kind)]
+    def all_referrers(self, target: Key) -> list[Key]:
+        """All keys that reference a key."""
+        return [key for kind in Kind for key in self.referrers_of_kind(target, kind)]
--- a/dykeshift/configuration/resources.py
+++ b/dykeshift/configuration/resources.py
@@ -1,11 +1,12 @@
 """The resources that make up the configuration: their keys, their typed bodies and their encoding.
 
-A resource is one small thing with a key and a version: a class of requests, a route, a tenant, a service, a
-ban of a server, a list word. Its body is the MessagePack encoding of the typed struct of its kind, as an
-array: a reader that knows fewer fields skips the last ones, one that knows more uses their defaults.
+A resource has a key and a version. It is a class of requests, a route, a tenant, a service, a ban of a
+server, or a list word (a list kept by operators). Its body is the MessagePack encoding of the struct of its
+kind, as an array: a reader that knows fewer fields skips the last ones, one that knows more uses their
+defaults.
 
-A resource in its joint phase carries both bodies, the one in force and the one that comes (`joint`). Who acts
-on it has to act on the meet of the two (`dykeshift.configuration.meets`).
+A resource in its joint phase carries both bodies, the one in force and the next one (`joint`). A balancer
+then has to act on the meet of the two, which allows only what both allow (`dykeshift.configuration.meets`).
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 class ClassTerms(Struct, frozen=True, array_like=True, gc=False):
-    """A class of requests. Times in nanoseconds. `position` orders the classes of a settings file."""
+    """A class of requests. Times in nanoseconds. `position` is the index of the class in a settings file."""
 
     aim_ns: int
     deadline_ns: int
@@ -54,21 +55,21 @@
 
 
 class Route(Struct, frozen=True, array_like=True, gc=False):
-    """Where the requests of a route go, and as which class."""
+    """The service that the requests of a route go to, and their class."""
 
     service: str
     request_class: str
 
 
 class Tenant(Struct, frozen=True, array_like=True):
-    """A tenant: the services it may use (none named: every one) and its share of each."""
+    """A tenant: the services it may use (empty: all) and its share of each."""
 
     services: tuple[str, ...] = ()
     share: float = 1.0
 
 
 class Service(Struct, frozen=True, array_like=True, gc=False):
-    """The terms by which one service of upstreams is used. Times in nanoseconds."""
+    """How balancers use one service and its upstreams. Times in nanoseconds."""
 
     balancers: int = 1
     attempt_limit: int = 1
@@ -83,12 +84,12 @@
     worst_class: float = 0.0
     retry_advice: bool = False
     retry_advice_limit_ns: int = 0
-    ask_every_ns: int = 0
-    servers: int = 0  # how many it is declared to have; 0: not declared
+    ask_every_ns: int = 0  # interval of queries to discovery
+    servers: int = 0  # declared number of servers; 0: not declared
 
 
 class Ban(Struct, frozen=True, array_like=True, gc=False):
-    """A server that gets nothing new, by an operator's word."""
+    """A server that gets no new requests, as decided by an operator (`by`)."""
 
     service: str
     server: str
@@ -96,7 +97,12 @@
 
 
 class ListWord(Struct, frozen=True, array_like=True):
-    """One word of the lists; of one service, or of every one where `service` is empty."""
+    """A list kept by operators, identified by its word; for one service, or for all if `service` is empty.
+
+    `preferred`: servers that are chosen before equally loaded ones; `closed`: classes of requests that are
+    rejected; `wary`: servers that a balancer without a lease does not use; `doubt`: "serve" or "refuse", what
+    a balancer without a lease does with requests.
+    """
 
     word: Literal["preferred", "closed", "wary", "doubt"]
     names: tuple[str, ...] = ()
@@ -116,32 +122,32 @@
 
 
 class Joint(Struct, frozen=True, array_like=True, gc=False):
-    """The body that comes, beside the one in force; None: the resource is going to be deleted."""
+    """The next body, beside the one in force; None: the resource is going to be deleted."""
 
     body: bytes | None
 
 
 class Resource(Struct, frozen=True, array_like=True):
-    """One resource as of `version`, the version of the store that wrote it last.
+    """One resource as of `version`, the version of the store at which it was last written.
 
-    `body` None: a tombstone, or, with `joint`, a resource that is not in force yet. `concerned` says of a
-    tombstone which services it concerned; of any other resource `services` finds it in the bodies.
+    `body` None: a tombstone or, with `joint`, a resource that is not in force yet. `former_services`: of a
+    tombstone, the services that the resource concerned; of any other resource see `services()`.
     """
 
     key: Key
     version: int
     body: bytes | None
     joint: Joint | None = None
-    concerned: tuple[str, ...] = ()
+    former_services: tuple[str, ...] = ()
 
     @property
     def live(self) -> bool:
-        """Whether it is more than a tombstone."""
+        """Whether this is a resource and not a tombstone."""
         return self.body is not None or self.joint is not None
 
 
 class BodyError(Exception):
-    """Bytes that are no body of their kind; its text is for people."""
+    """The bytes do not decode to a body of the kind; the text is human-readable."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -151,12 +157,12 @@
 
 
 def encode_body(body: Body) -> bytes:
-    """The bytes of a typed body."""
+    """Encode a typed body."""
     return _encoder.encode(body)
 
 
 def decode_body(kind: Kind, data: bytes) -> Body:
-    """The typed body; BodyError where the bytes are none of this kind."""
+    """Decode a body of a kind; raises BodyError if the bytes are malformed."""
     try:
         found = _decoders[kind].decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
@@ -165,7 +171,7 @@
 
 
 def body_services(kind: Kind, data: bytes | None, name: str) -> tuple[str, ...]:
-    """The services that a body concerns; empty: every one. No body concerns nobody in particular."""
+    """The services that a body concerns; empty: all services, also for no body."""
     if data is None:
         return ()
     body = decode_body(kind, data)
@@ -181,9 +187,9 @@
 
 
 def services(resource: Resource) -> tuple[str, ...]:
-    """The services that a resource concerns, of both bodies in the joint phase; empty: every one."""
+    """The services that a resource concerns, by both bodies in a joint phase; empty: all services."""
     if not resource.live:
-        return resource.concerned
+        return resource.former_services
     found = set[str]()
     for data in (resource.body, resource.joint.body if resource.joint is not None else None):
         if data is not None:
@@ -195,7 +201,7 @@
 
 
 def resource_digest(resource: Resource) -> int:
-    """A number of 128 bits for key, version and bodies. It finds faults; it is no signature."""
+    """A 128-bit digest of key, version and bodies. It detects errors; it does not authenticate."""
     data = _encoder.encode(resource)
     return int.from_bytes(hashlib.blake2b(data, digest_size=DIGEST_BYTES, key=_DIGEST_KEY).digest(), "big")
 
@@ -206,5 +212,5 @@
 
 
 def list_word_key(word: str, service: str = "") -> Key:
-    """The key of a list word, of one service or of every one."""
+    """The key of a list word, of one service or of all."""
     return Key(Kind.LIST_WORD, f"{service}/{word}" if service else word)
--- a/dykeshift/configuration/scope_codec.py
+++ b/dykeshift/configuration/scope_codec.py
@@ -1,4 +1,4 @@
-"""A scope as bytes, as a subscriber tells it, and the number by which a replica knows it again."""
+"""Encoding of scopes, as subscribers send them, and the digest by which a replica recognises one."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from dykeshift.configuration.scope import Scope
 
-LONGEST_SCOPE = 32_768  # bytes of a scope that a replica takes
+LONGEST_SCOPE = 32_768  # bytes; replicas reject longer scopes
 
 _decoder = msgspec.msgpack.Decoder(tuple[bool, tuple[str, ...]])
 
 
 class ScopeError(Exception):
-    """Bytes that are no scope."""
+    """The bytes are not an encoded scope."""
 
 
 def pack_scope(scope: Scope) -> bytes:
-    """The bytes of a scope; equal scopes have equal bytes."""
+    """Encode a scope; equal scopes give equal bytes."""
     return msgspec.msgpack.encode((scope.whole, sorted(scope.services)))
 
 
 def unpack_scope(data: bytes) -> Scope:
-    """ScopeError where the bytes are none."""
+    """Decode a scope; raises ScopeError if the bytes are malformed."""
     try:
         whole, services = _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
@@ -32,5 +32,5 @@
 
 
 def scope_digest(data: bytes) -> int:
-    """64 bits that stand for the bytes of a scope."""
+    """A 64-bit digest of an encoded scope."""
     return int.from_bytes(hashlib.blake2s(data, digest_size=8).digest(), "big")
--- a/dykeshift/configuration/store.py
+++ b/dykeshift/configuration/store.py
@@ -1,20 +1,22 @@
-"""The configuration that all members have alike: resources by key, and the transactions that change them.
+"""The configuration store, a deterministic state machine of the replicated log: resources and transactions.
 
-Theory of operation. The log's entries are transactions and their phases (`transactions.py`). Entry by entry
-the store decides by its own state alone: a transaction that fits takes its keys, goes through its phases and
-is written whole by one entry; one that does not is refused whole, and the last good state stays. Transactions
-of different keys are under way side by side; one that touches the keys of another, or names what it writes,
-or writes what it names, is refused with `Cause.CONFLICT` until that one has come to its end.
+Theory of operation. The entries of the log are transactions and their phase changes (`transactions.py`). The
+store decides each entry by its own state alone. A valid transaction reserves its keys, goes through its
+phases and is committed atomically by one entry; an invalid one is refused as a whole and changes no resource.
+Transactions on different keys can be pending at the same time. A transaction that writes a key which a
+pending one writes or references, or expects or references a key which a pending one writes, is refused with
+`Cause.CONFLICT` until the pending one ends.
 
-How long a phase has to last is not the store's business: it has no clock.
+The store has no clock; `coordinator.py` decides how long a phase lasts.
 
-Promises:
- 1. Applying an entry never fails; one that does not fit changes nothing but the version and its own outcome.
- 2. Two stores that have applied the same entries have the same state, byte by byte; so has one that was
+Invariants:
+ 1. Applying an entry never fails; an invalid one changes only the version and its own outcome.
+ 2. Two stores that have applied the same entries have the same state, byte for byte; so does a store that was
     restored from a snapshot.
- 3. A transaction is in force whole, by one version, or not at all.
- 4. A guarded key's new body is in force only by a version later than one by which it was in its joint phase.
- 5. What is kept grows with the live resources alone: tombstones, outcomes and deletion counts are bounded.
+ 3. A transaction takes effect atomically, at one version, or not at all.
+ 4. The new body of a guarded key comes into force only at a version later than the one that began its joint
+    phase.
+ 5. Memory is bounded by the number of live resources: tombstones, outcomes and deletion counts have limits.
 """
 
 from __future__ import annotations
@@ -27,7 +29,7 @@
 from msgspec import Struct
 
 from dykeshift.configuration.index import MOST_TOMBSTONES, ResourceIndex, TableName
-from dykeshift.configuration.meets import NAMES_WITH_A_MEANING, guarded
+from dykeshift.configuration.meets import KINDS_WITH_REUSABLE_NAMES, guarded
 from dykeshift.configuration.references import ReferenceIndex, references
 from dykeshift.configuration.resources import (
     Body,
@@ -53,18 +55,18 @@
     DELETION_WINDOW,
     Cause,
     Objection,
-    Running,
+    RunningServers,
     find_objection,
 )
 
-COMPRESSION = 1  # of snapshots: zlib's level
-ZLIB_HEADER = b"\x78"  # the first byte of what is compressed; no plain snapshot begins with it
-MOST_STATE_BYTES = 64_000_000  # of a snapshot, decompressed
-MOST_OUTCOMES = 1024  # of the last transactions that were decided
+COMPRESSION = 1  # zlib level of snapshots
+ZLIB_HEADER = b"\x78"  # first byte of a compressed snapshot; no uncompressed one begins with it
+MAX_STATE_BYTES = 64_000_000  # limit for a decompressed snapshot
+MOST_OUTCOMES = 1024  # outcomes that are remembered, the latest ones
 
 
 class Deletions(Struct, frozen=True, array_like=True):
-    """What one version deleted of a kind: how many established ones, and how many there were before."""
+    """Deletions of a kind by one version: `count` established resources out of `before` in force."""
 
     version: int
     kind: Kind
@@ -73,7 +75,7 @@
 
 
 class State(Struct, array_like=True):
-    """All of it, as it is kept and sent. Resources and tombstones in the order of versions."""
+    """The content of a snapshot. Resources and tombstones are in version order."""
 
     compacted: int = 0
     resources: list[Resource] = []
@@ -88,27 +90,27 @@
 
 
 def encode_state(state: State) -> bytes:
-    """A snapshot's bytes."""
+    """Encode and compress a snapshot."""
     return zlib.compress(_state_encoder.encode(state), COMPRESSION)
 
 
 def decode_state(data: bytes) -> State:
-    """A snapshot, compressed or plain; an error of zlib or msgspec where it is none."""
+    """Decode a snapshot, compressed or not; raises an error of zlib or msgspec if it is malformed."""
     if data[:1] == ZLIB_HEADER:
-        data = zlib.decompressobj().decompress(data, MOST_STATE_BYTES)
+        data = zlib.decompressobj().decompress(data, MAX_STATE_BYTES)
     return _state_decoder.decode(data)
 
 
 class ConfigStore:
-    """The configuration as of `version`; a state machine of the log."""
+    """The configuration as of `version`, the log index of the last applied entry."""
 
     def __init__(
         self, most_tombstones: int = MOST_TOMBSTONES, deletion_window: int = DELETION_WINDOW
     ) -> None:
-        """Both bounds decide what is refused or guarded: they have to be the same on every member."""
+        """Both limits affect what is refused or guarded, so they must be the same on every member."""
         self.version = 0
         self.deletion_window = deletion_window
-        self.unknown_entries = 0  # entries of this process's log that are nobody's transaction
+        self.unknown_entries = 0  # log entries applied by this process that do not decode
         self._reset(most_tombstones)
 
     def _reset(self, most_tombstones: int) -> None:
@@ -118,13 +120,15 @@
         self.outcomes: dict[int, Outcome] = {}  # by ident, oldest first
         self.deletions: deque[Deletions] = deque()
         self.counts: Counter[Kind] = Counter()
-        self._writers: dict[Key, int] = {}  # keys that transactions under way write
-        self._readers: dict[Key, dict[int, None]] = {}  # keys that they name
+        self._writers: dict[Key, int] = {}  # keys written by pending transactions
+        self._readers: dict[
+            Key, dict[int, None]
+        ] = {}  # keys referenced by pending transactions; the dict is an ordered set
 
     # ---- the state machine ----
 
     def apply(self, version: int, body: bytes) -> None:
-        """One entry of the log; never fails."""
+        """Apply one entry of the log; never fails."""
         self.version = version
         entry = decode_entry(body)
         if isinstance(entry, Transaction):
@@ -135,7 +139,7 @@
             self.unknown_entries += 1
 
     def snapshot(self) -> bytes:
-        """The whole state, compressed: a piece of the log's transfer may have a megabyte."""
+        """The whole state, compressed, since the log transfers snapshots in pieces of at most a megabyte."""
         state = State(
             self.index.compacted,
             list(self.index.live()),
@@ -147,7 +151,7 @@
         return encode_state(state)
 
     def restore(self, version: int, state: bytes) -> None:
-        """Begin anew with a snapshot; bytes that are none leave an empty store."""
+        """Replace the state by a snapshot; a malformed one leaves an empty store."""
         self._reset(self.index.most_tombstones)
         self.version = version
         try:
@@ -157,81 +161,81 @@
         self.index.merge(kept.resources, kept.tombstones)
         self.index.compacted = kept.compacted
         for resource in kept.resources:
-            self._count(resource.key, None, self.body(resource.key))
+            self._update_counts(resource.key, None, self.body(resource.key))
         for pending in kept.pending:
-            self._take(pending)
+            self._reserve_keys(pending)
         self.outcomes = {outcome.ident: outcome for outcome in kept.outcomes}
         self.deletions = deque(kept.deletions)
 
-    # ---- what can be asked ----
+    # ---- queries ----
 
     def get(self, key: Key) -> Resource | None:
         """The live resource of a key."""
         return self.index.get(key)
 
     def body(self, key: Key) -> Body | None:
-        """The body in force of a key."""
+        """The body of a key that is in force."""
         held = self.index.get(key)
         return decode_body(key.kind, held.body) if held is not None and held.body is not None else None
 
     def scoped(self, scope: Scope) -> tuple[Resource, ...]:
-        """All live resources of a scope in the order of versions."""
+        """All live resources of a scope in version order."""
         return self.index.scoped(scope)
 
     def changes_since(self, version: int, scope: Scope) -> tuple[Resource, ...]:
-        """The latest state of what has changed in a scope, tombstones too, in the order of versions;
-        CompactedError where `snapshot_needed(version)`."""
+        """The latest state of each resource of a scope that changed since a version, including tombstones, in
+        version order; raises CompactedError if `snapshot_needed(version)`."""
         return self.index.changes_since(version, scope)
 
     def snapshot_needed(self, version: int) -> bool:
-        """Whether the changes since a version are not known any more."""
+        """Whether changes since a version may have been compacted away."""
         return self.index.snapshot_needed(version)
 
     def digest(self, scope: Scope) -> int:
-        """A number that tells what a scope holds, whatever the way there."""
+        """A digest of the live resources of a scope, independent of their history."""
         return self.index.digest(scope)
 
     def outcome(self, ident: int) -> Outcome | None:
-        """What became of a transaction; None: it is under way, unknown, or long ago."""
+        """The outcome of a transaction; None: it is pending, unknown, or no longer remembered."""
         return self.outcomes.get(ident)
 
-    def objection(self, transaction: Transaction, running: Running | None = None) -> Objection | None:
-        """Why it would change nothing now; None where it would. `running`: the servers that run, by service,
-        as far as the asker knows (the store's own decision knows of none)."""
+    def objection(self, transaction: Transaction, running: RunningServers | None = None) -> Objection | None:
+        """Why a transaction cannot begin now; None: it can. `running`: the running servers that the caller
+        knows of, by service (when the store applies an entry it knows of none)."""
         return find_objection(self, transaction, running)
 
-    # ---- what validation asks ----
+    # ---- queries of validation (CurrentState) ----
 
-    def holder(self, key: Key) -> int | None:
-        """The transaction under way that writes a key."""
+    def pending_writer(self, key: Key) -> int | None:
+        """The pending transaction that writes a key."""
         return self._writers.get(key)
 
-    def reader(self, key: Key) -> int | None:
-        """A transaction under way that names a key, with its old bodies or its new ones."""
+    def pending_reader(self, key: Key) -> int | None:
+        """A pending transaction whose old or new bodies reference a key."""
         return next(iter(self._readers.get(key, ())), None)
 
     def decided(self, ident: int) -> bool:
-        """Whether this transaction is under way, or was decided lately."""
+        """Whether this transaction is pending or has a remembered outcome."""
         return ident in self.pending or ident in self.outcomes
 
     def count(self, kind: Kind) -> int:
-        """Resources of a kind that are in force."""
+        """The number of resources of a kind that are in force."""
         return self.counts[kind]
 
     def established(self, key: Key) -> bool:
-        """Whether a resource was not written within `deletion_window` versions."""
+        """Whether a resource exists and was last written before the deletion window."""
         held = self.index.get(key)
         return held is not None and held.version <= self.version - self.deletion_window
 
-    def deleted_lately(self, kind: Kind) -> int:
-        """How many established ones of a kind were deleted within `deletion_window` versions."""
-        return sum(one.count for one in self._lately(kind))
+    def recently_deleted(self, kind: Kind) -> int:
+        """How many established resources of a kind were deleted within the deletion window."""
+        return sum(one.count for one in self._recent_deletions(kind))
 
-    def most_lately(self, kind: Kind) -> int:
-        """The most of a kind that there were within `deletion_window` versions."""
-        return max([self.counts[kind], *(one.before for one in self._lately(kind))])
+    def recent_maximum(self, kind: Kind) -> int:
+        """The largest number of resources of a kind within the deletion window."""
+        return max([self.counts[kind], *(one.before for one in self._recent_deletions(kind))])
 
-    def _lately(self, kind: Kind) -> Iterator[Deletions]:
+    def _recent_deletions(self, kind: Kind) -> Iterator[Deletions]:
         first = self.version - self.deletion_window
         return (one for one in self.deletions if one.kind is kind and one.version > first)
 
@@ -242,14 +246,14 @@
         if objection is not None:
             if objection.cause is not Cause.DUPLICATE:
                 text = f"{objection.cause.value}: {objection.text}"
-                self._end(transaction.ident, Phase.REFUSED, text)
+                self._record_outcome(transaction.ident, Phase.REFUSED, text)
             return
         keys = tuple(self._guarded_keys(transaction))
         if keys or transaction.checked:
-            self._take(Pending(transaction, Phase.PREPARED, self.version, keys))
+            self._reserve_keys(Pending(transaction, Phase.PREPARED, self.version, keys))
         else:
             self._commit(transaction)
-            self._end(transaction.ident, Phase.COMMITTED)
+            self._record_outcome(transaction.ident, Phase.COMMITTED)
 
     def _advance(self, advance: Advance) -> None:
         pending = self.pending.get(advance.ident)
@@ -260,9 +264,9 @@
                 self._enter_joint(pending)
         elif advance.phase is Phase.COMMITTED:
             if pending.phase is (Phase.JOINT if pending.guarded else Phase.PREPARED):
-                self._release(pending)
+                self._release_keys(pending)
                 self._commit(pending.transaction)
-                self._end(advance.ident, Phase.COMMITTED)
+                self._record_outcome(advance.ident, Phase.COMMITTED)
         elif advance.phase is Phase.ABORTED:
             self._abort(pending, advance.reason)
 
@@ -278,36 +282,36 @@
 
         for key, body in bodies.items():
             old = self.body(key)
-            if guarded(key, old, body, old_class, new_class) or (old is None and self._meant_before(key)):
+            if guarded(key, old, body, old_class, new_class) or (old is None and self._name_was_used(key)):
                 yield key
 
-    def _meant_before(self, key: Key) -> bool:
-        """Whether a name may have meant something else, on which somebody who lags may still act."""
+    def _name_was_used(self, key: Key) -> bool:
+        """Whether a name may have been used before: a lagging balancer may still act on its old meaning."""
         forgotten = self.index.compacted > 0
-        return key.kind in NAMES_WITH_A_MEANING and (forgotten or self.index.was_deleted(key))
+        return key.kind in KINDS_WITH_REUSABLE_NAMES and (forgotten or self.index.has_tombstone(key))
 
-    def _take(self, pending: Pending) -> None:
-        """Its keys, and those that they name, are taken."""
+    def _reserve_keys(self, pending: Pending) -> None:
+        """Reserve the keys that a pending transaction writes and those that it references."""
         ident = pending.transaction.ident
         self.pending[ident] = pending
         for key in pending.transaction.written_keys():
             self._writers[key] = ident
-        for target in self._named_by(pending.transaction):
+        for target in self._referenced_by(pending.transaction):
             self._readers.setdefault(target, {})[ident] = None
 
-    def _release(self, pending: Pending) -> None:
+    def _release_keys(self, pending: Pending) -> None:
         ident = pending.transaction.ident
         del self.pending[ident]
         for key in pending.transaction.written_keys():
             del self._writers[key]
-        for target in self._named_by(pending.transaction):
+        for target in self._referenced_by(pending.transaction):
             readers = self._readers[target]
             readers.pop(ident, None)
             if not readers:
                 del self._readers[target]
 
-    def _named_by(self, transaction: Transaction) -> set[Key]:
-        """What its old and its new bodies name; its keys are taken, so it stays the same until its end."""
+    def _referenced_by(self, transaction: Transaction) -> set[Key]:
+        """The keys that its old and new bodies reference; constant while its own keys are reserved."""
         bodies = list(_bodies_after(transaction).values())
         bodies += [self.body(key) for key in transaction.written_keys()]
         return {target for body in bodies if body is not None for target in references(body)}
@@ -333,38 +337,38 @@
             self._write(key, None)
 
     def _abort(self, pending: Pending, reason: str) -> None:
-        self._release(pending)
+        self._release_keys(pending)
         if pending.phase is Phase.JOINT:
             for key in pending.guarded:
                 held = self.index.get(key)
                 self._write(key, held.body if held is not None else None)
-        self._end(pending.transaction.ident, Phase.ABORTED, reason)
+        self._record_outcome(pending.transaction.ident, Phase.ABORTED, reason)
 
     def _write(self, key: Key, data: bytes | None) -> None:
-        """This body alone from this version on; None: deleted."""
+        """Put a body in force, without a joint body, as of this version; None: delete the key."""
         held, old = self.index.get(key), self.body(key)
-        concerned = services(held) if held is not None else ()
+        former_services = services(held) if held is not None else ()
         if data is None:
-            self.index.write(Resource(key, self.version, None, concerned=concerned))
+            self.index.write(Resource(key, self.version, None, former_services=former_services))
         else:
             self.index.write(Resource(key, self.version, data))
-        self._count(key, old, self.body(key))
+        self._update_counts(key, old, self.body(key))
 
-    def _count(self, key: Key, old: Body | None, new: Body | None) -> None:
+    def _update_counts(self, key: Key, old: Body | None, new: Body | None) -> None:
         self.counts[key.kind] += (new is not None) - (old is not None)
         if old is not None:
             self.referrers.remove(key, old)
         if new is not None:
             self.referrers.add(key, new)
 
-    def _end(self, ident: int, phase: Phase, reason: str = "") -> None:
+    def _record_outcome(self, ident: int, phase: Phase, reason: str = "") -> None:
         self.outcomes[ident] = Outcome(ident, phase, self.version, reason[:LONGEST_REASON])
         while len(self.outcomes) > MOST_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
 
 
 def _bodies_after(transaction: Transaction) -> dict[Key, Body | None]:
-    """What a transaction that was looked at makes of its keys."""
+    """The new bodies of a validated transaction by key; None: the key is deleted."""
     bodies: dict[Key, Body | None] = {
         put.key: decode_body(put.key.kind, put.body) for put in transaction.puts
     }
--- a/dykeshift/configuration/transactions.py
+++ b/dykeshift/configuration/transactions.py
@@ -1,15 +1,15 @@
-"""Changes of the configuration as the log keeps them, and the phases that a transaction goes through.
-
-A transaction is a delta: resources to put and to delete, with the versions that its author has seen. It is
-decided whole or not at all, by `dykeshift.configuration.store`.
-
-    (begin) --refused--> (gone)           it does not fit, or would do harm; nothing has changed
-    (begin) ----------> PREPARED          its keys are taken; nobody acts on it yet
-    (begin) --free----> COMMITTED         nothing in it is guarded: in force with its own entry
-    PREPARED ---------> JOINT             who acts on a guarded key acts on the meet of old and new
-    PREPARED ---------> COMMITTED         only where nothing in it is guarded
-    JOINT ------------> COMMITTED         in force; by then nobody may act on the old body alone
-    PREPARED, JOINT --> ABORTED           the old bodies alone; nobody has ever acted on the new ones alone
+"""Changes of the configuration as stored in the log, and the phases of a transaction.
+
+A transaction is a delta: resources to put and to delete, with the versions that its author expects. The store
+(`dykeshift.configuration.store`) applies it atomically or not at all.
+
+    (begin) ----------> REFUSED           invalid, or harmful; no resource has changed
+    (begin) ----------> PREPARED          its keys are reserved; no balancer acts on it yet
+    (begin) ----------> COMMITTED         no key is guarded and it is not `checked`: in force at once
+    PREPARED ---------> JOINT             balancers act on the meet of old and new for each guarded key
+    PREPARED ---------> COMMITTED         only if no key is guarded
+    JOINT ------------> COMMITTED         in force; by now no balancer may act on an old body alone
+    PREPARED, JOINT --> ABORTED           the old bodies stay; no balancer has acted on a new one alone
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class Phase(Enum):
-    """Where a transaction is. The last three are ends."""
+    """The state of a transaction. The last three are final."""
 
     PREPARED = "prepared"
     JOINT = "joint"
@@ -39,16 +39,19 @@
 
 
 class Put(Struct, frozen=True, array_like=True, gc=False):
-    """A body for a key; the typed body of its kind, encoded."""
+    """Sets the body of a key; `body` is the encoded struct of the kind."""
 
     key: Key
     body: bytes
 
 
 class Transaction(Struct, frozen=True, array_like=True, tag="begin"):
-    """A change of several resources. `ident` is its author's, never used twice. `expected`: the version that
-    each key has to have (0: it must not exist); a key that is put or deleted and not named may have any.
-    `checked` asks that it waits in PREPARED, also where nothing in it is guarded."""
+    """An atomic change of several resources.
+
+    `ident` is chosen by the author and never used twice. `expected`: the version that each key must have (0:
+    it must not exist); a key that is written and not listed may have any. `checked`: the transaction waits
+    in PREPARED for an approval, even if none of its keys is guarded.
+    """
 
     ident: Ident
     by: Author = ""
@@ -58,12 +61,12 @@
     checked: bool = False
 
     def written_keys(self) -> tuple[Key, ...]:
-        """All keys that it writes."""
+        """All keys that are put or deleted."""
         return tuple(put.key for put in self.puts) + self.deletes
 
 
 class Advance(Struct, frozen=True, array_like=True, tag="advance"):
-    """The next phase of a transaction that is under way."""
+    """Moves a pending transaction to its next phase."""
 
     ident: Ident
     phase: Phase
@@ -77,12 +80,12 @@
 
 
 def encode_entry(entry: Entry) -> bytes:
-    """The bytes of an entry of the log."""
+    """Encode an entry of the log."""
     return _encoder.encode(entry)
 
 
 def decode_entry(data: bytes) -> Entry | None:
-    """None: it is no entry of ours; others may have proposed it for purposes of their own."""
+    """Decode an entry of the log; None if it is not a configuration entry, as other users share the log."""
     try:
         found: Entry = _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError):
@@ -91,7 +94,7 @@
 
 
 class Pending(Struct, frozen=True, array_like=True):
-    """A transaction under way. `since`: the version that brought its phase; `guarded`: the keys that need a
+    """A pending transaction. `since`: the version at which its phase began; `guarded`: the keys that need a
     joint phase."""
 
     transaction: Transaction
@@ -101,7 +104,7 @@
 
 
 class Outcome(Struct, frozen=True, array_like=True):
-    """What became of a transaction, and at which version."""
+    """The final phase of a transaction, and the version at which it was reached."""
 
     ident: int
     phase: Phase
--- a/dykeshift/configuration/transfer.py
+++ b/dykeshift/configuration/transfer.py
@@ -1,8 +1,8 @@
-"""One part in chunks: the sender's window and repetitions, and the receiver's pieces.
+"""Reliable transfer of one part in chunks: sliding window, retransmission and reassembly.
 
-The sender keeps at most `WINDOW` chunks on the way; one that is not acknowledged goes again after a time that
-doubles each time. The receiver acknowledges all that it has in a row, and by bits what it has ahead of that.
-Neither sends by itself: the replica asks `due` for the next chunk as its budget allows.
+The sender keeps at most `WINDOW` chunks in flight and retransmits unacknowledged ones with exponential
+backoff. The receiver acknowledges all chunks up to the first missing one, and later ones selectively by a bit
+map. Neither sends by itself: the replica asks `due` for the next chunk as its budget allows.
 """
 
 from __future__ import annotations
@@ -11,65 +11,67 @@
 
 from dykeshift.configuration.wire import CHUNK
 
-WINDOW = 32  # chunks ahead of the acknowledged ones: the bits of an ACK
-FIRST_TIMEOUT = 400_000_000  # nanoseconds until a chunk goes again
-LONGEST_TIMEOUT = 3_200_000_000
-MOST_CHUNKS = 0xFFFF
+WINDOW = 32  # chunks beyond the acknowledged ones: the number of bits in an ACK
+INITIAL_TIMEOUT = 400_000_000  # nanoseconds until the first retransmission
+MAX_TIMEOUT = 3_200_000_000
+MAX_CHUNKS = 0xFFFF
 
 
 @dataclass(slots=True)
 class _Sent:
-    """A chunk on the way: when it goes again, and after how long the time after that."""
+    """A chunk in flight: when it is retransmitted, and its current timeout."""
 
-    again_at: int
+    retransmit_at: int
     timeout: int
 
 
 class Sender:
-    """Sends `data` as the transfer `number`."""
+    """The sending side: `data` as the transfer `number`."""
 
     def __init__(self, number: int, data: bytes) -> None:
-        """ValueError where the data has more chunks than can be numbered."""
+        """Raises ValueError if the data needs more chunks than can be numbered."""
         self.number = number
         self.chunks = [data[at : at + CHUNK] for at in range(0, len(data), CHUNK)]
-        if len(self.chunks) > MOST_CHUNKS:
-            raise ValueError(f"{len(data)} bytes are too many for one transfer")
-        self.following = 0  # the first chunk that is not acknowledged
-        self.unsent = 0  # the first chunk that never went
-        self.sent: dict[int, _Sent] = {}  # on the way, in order of number
-        self.repeated = 0
+        if len(self.chunks) > MAX_CHUNKS:
+            raise ValueError(f"transfer too long: {len(data)} bytes, limit {MAX_CHUNKS * CHUNK}")
+        self.following = 0  # the first unacknowledged chunk
+        self.next_unsent = 0  # the first chunk that has not been sent
+        self.sent: dict[int, _Sent] = {}  # in flight, in order of first sending
+        self.retransmissions = 0
 
     @property
     def complete(self) -> bool:
-        """Whether all of it is acknowledged."""
+        """Whether all chunks are acknowledged."""
         return self.following >= len(self.chunks)
 
     def due(self, now: int) -> int | None:
-        """The chunk to send now: the first whose time is over, else a new one within the window."""
+        """The chunk to send now: the first whose timeout has expired, else a new one within the window."""
         for number, sent in self.sent.items():
-            if now >= sent.again_at:
+            if now >= sent.retransmit_at:
                 return number
-        if self.unsent < min(len(self.chunks), self.following + WINDOW):
-            return self.unsent
+        if self.next_unsent < min(len(self.chunks), self.following + WINDOW):
+            return self.next_unsent
         return None
 
     def on_sent(self, now: int, number: int) -> None:
-        """The chunk went."""
+        """Record that a chunk was sent."""
         old = self.sent.get(number)
         if old is None:
-            self.sent[number] = _Sent(now + FIRST_TIMEOUT, FIRST_TIMEOUT)
-            self.unsent = max(self.unsent, number + 1)
+            self.sent[number] = _Sent(now + INITIAL_TIMEOUT, INITIAL_TIMEOUT)
+            self.next_unsent = max(self.next_unsent, number + 1)
             return
-        self.repeated += 1
-        old.timeout = min(LONGEST_TIMEOUT, 2 * old.timeout)
-        old.again_at = now + old.timeout
+        self.retransmissions += 1
+        old.timeout = min(MAX_TIMEOUT, 2 * old.timeout)
+        old.retransmit_at = now + old.timeout
 
     def on_ack(self, following: int, ahead: int) -> None:
-        """Of this transfer."""
-        if following > self.unsent:
+        """Process an acknowledgement of this transfer."""
+        if following > self.next_unsent:
             return
         self.following = max(self.following, following)
-        last = len(self.chunks) - 1  # goes again until the whole is acknowledged as taken
+        last = (
+            len(self.chunks) - 1
+        )  # retransmitted until the receiver confirms that it has taken the whole transfer
         for number in list(self.sent):
             bit = number - following - 1
             arrived = number != last and 0 <= bit < WINDOW and ahead >> bit & 1
@@ -79,7 +81,7 @@
 
 @dataclass(slots=True)
 class Receiver:
-    """Puts a transfer together; a chunk of a later one begins anew."""
+    """The receiving side: reassembles a transfer; a chunk of a later transfer replaces it."""
 
     number: int = -1
     total: int = 0
@@ -88,7 +90,7 @@
     finished: bool = False
 
     def on_chunk(self, transfer: int, number: int, total: int, chunk: bytes) -> bool:
-        """Whether it belongs to the transfer that is put together, or begins a later one."""
+        """Store a chunk; returns whether it belongs to the current transfer or begins a later one."""
         if transfer < self.number or not number < total:
             return False
         if transfer > self.number:
@@ -105,24 +107,24 @@
         return True
 
     def finish(self) -> None:
-        """What was put together has been taken: only its number is kept, to acknowledge repetitions."""
+        """The transfer has been taken: drop its data, keep its number to acknowledge retransmissions."""
         self.finished, self.chunks, self.ahead = True, [], {}
 
     @property
     def following(self) -> int:
-        """The first chunk that is missing; the last one counts as there only once the whole was taken."""
+        """The first missing chunk; the last chunk counts as missing until the whole transfer was taken."""
         if self.finished:
             return self.total
         return min(len(self.chunks), self.total - 1) if self.total else 0
 
     @property
     def whole(self) -> bytes | None:
-        """All of it, once it is there."""
+        """The data of the transfer once all chunks have arrived, until it is taken."""
         complete = self.total and len(self.chunks) == self.total and not self.finished
         return b"".join(self.chunks) if complete else None
 
     @property
     def ahead_bits(self) -> int:
-        """Which chunks behind the first missing one are there."""
+        """Bit map of the chunks received after the first missing one."""
         first = len(self.chunks) + 1
         return sum(1 << (number - first) for number in self.ahead if 0 <= number - first < WINDOW)
--- a/dykeshift/configuration/translate.py
+++ b/dykeshift/configuration/translate.py
@@ -1,8 +1,8 @@
-"""Between the words of a settings file (and the book of `dykeshift.versions`) and the resources.
+"""Converts between resources and settings files, and from the lists of `dykeshift.versions` to resources.
 
-A settings file speaks of one service: its `services` are classes of requests here, everything else is the
-terms of the service. The words of `dykeshift.versions.own.MINE` (where a balancer stands, how it asks
-discovery) are each balancer's own and no resources.
+A settings file describes one service. The entries of its `services` are classes of requests here; everything
+else becomes the terms of the service. The keys listed in `dykeshift.versions.own.MINE` (location of the
+balancer, how it queries discovery) are local to each balancer and do not become resources.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from dykeshift.settings import parse_settings
 from dykeshift.versions.book import Pages
 
-Words = dict[str, Any]
-NOT_TOLD: Words = {"discovery": ""}  # of a balancer's own words, what its reader wants to find
+SettingsDict = dict[str, Any]
+OWN_SETTINGS_PLACEHOLDER: SettingsDict = {"discovery": ""}  # the local keys that the settings parser requires
 
 
-def class_words(name: str, terms: ClassTerms) -> Words:
-    """One entry of a settings file's `services`."""
+def class_settings(name: str, terms: ClassTerms) -> SettingsDict:
+    """A class as an entry of `services` in a settings file."""
     return {
         "name": name,
         "goalTimeNs": terms.aim_ns,
@@ -45,8 +45,8 @@
     }
 
 
-def service_words(service: Service) -> Words:
-    """A settings file's words for all but the classes."""
+def service_settings(service: Service) -> SettingsDict:
+    """The contents of a settings file except for the classes."""
     return {
         "balancers": service.balancers,
         "valueBy": "work" if service.worth_by_work else "request",
@@ -69,16 +69,16 @@
     }
 
 
-def words_of(service: Service, classes: Iterable[tuple[str, ClassTerms]]) -> Words:
-    """A settings file's words, without those that are each balancer's own."""
+def words_of(service: Service, classes: Iterable[tuple[str, ClassTerms]]) -> SettingsDict:
+    """The contents of a settings file, without the keys that are local to each balancer."""
     ordered = sorted(classes, key=lambda item: (item[1].position, item[0]))
-    return {**service_words(service), "services": [class_words(name, terms) for name, terms in ordered]}
+    return {**service_settings(service), "services": [class_settings(name, terms) for name, terms in ordered]}
 
 
-def puts_of(words: Words, service: str, servers: int = 0) -> tuple[Put, ...]:
-    """The resources that a settings file words, for a service of this name; SettingsError (of
-    `dykeshift.settings`) where it is no settings file."""
-    parse_settings({**NOT_TOLD, **words})  # so that what follows finds what it needs
+def puts_of(words: SettingsDict, service: str, servers: int = 0) -> tuple[Put, ...]:
+    """The resources described by the contents of a settings file, for a service of this name; raises
+    SettingsError (of `dykeshift.settings`) if the contents are invalid."""
+    parse_settings({**OWN_SETTINGS_PLACEHOLDER, **words})  # validates: the lookups below rely on it
     limits, rules = words["bounds"], words["obligations"]
     terms = Service(
         balancers=max(1, int(words["balancers"])),
@@ -104,7 +104,7 @@
     return tuple(puts)
 
 
-def _class_terms(entry: Words, position: int) -> ClassTerms:
+def _class_terms(entry: SettingsDict, position: int) -> ClassTerms:
     return ClassTerms(
         aim_ns=int(entry["goalTimeNs"]),
         deadline_ns=int(entry["deadlineNs"]),
@@ -119,15 +119,15 @@
 
 
 def settings_of(
-    service: Service, classes: Iterable[tuple[str, ClassTerms]], own: Words | None = None
+    service: Service, classes: Iterable[tuple[str, ClassTerms]], own: SettingsDict | None = None
 ) -> Settings:
-    """The settings that they make, with the words that are a balancer's `own`; SettingsError where they make
-    none."""
-    return parse_settings({**NOT_TOLD, **words_of(service, classes), **(own or {})})
+    """The settings of a service and its classes, with the local settings of a balancer (`own`); raises
+    SettingsError if they are invalid."""
+    return parse_settings({**OWN_SETTINGS_PLACEHOLDER, **words_of(service, classes), **(own or {})})
 
 
 def puts_of_lists(pages: Pages, service: str) -> tuple[Put, ...]:
-    """The bans and list words of a book of `dykeshift.versions`, for the one service that it speaks of."""
+    """The bans and list words in the state of `dykeshift.versions`, which describes one service."""
     puts = [
         Put(ban_key(service, server), encode_body(Ban(service, server, out.by)))
         for server, out in pages.out.items()
--- a/dykeshift/configuration/validation.py
+++ b/dykeshift/configuration/validation.py
@@ -1,12 +1,17 @@
-"""Why a transaction is refused: its form, its size, who has the keys now, what it would leave dangling, and
-the harm that it would do. Pure functions of the store's state and the transaction, alike on every member.
+"""Validation of transactions: form, limits, conflicts, expected versions, references, harmful changes.
 
-Nobody asks a clock here. "At once" is said in versions of the store: deletions count together while they are
-within `DELETION_WINDOW` versions. What was written as lately itself does not count as deleted (somebody tries
-something out), but never may half or less of what there was be left.
+All checks are pure functions of the store's state and the transaction, so every member of the replicated log
+decides alike.
 
-Which servers run only discovery knows: by the store's state alone a ban is held against the number of servers
-that the service declares; who proposes has its own list of servers and hands it in as `running`.
+No clock is read here. The window for mass deletions is counted in versions of the store: deletions within
+`DELETION_WINDOW` versions are added up. Deleting a resource that was itself written within that window does
+not count (somebody may be trying something out), but more than half of the resources must always remain.
+
+Only discovery knows which servers run. The store's own state allows a check of bans against the number of
+servers that the service declares; the proposer also passes the servers that discovery reports as `running`.
+
+The texts of objections become part of the replicated state (`Outcome.reason`), so every member must produce
+the same text for the same transaction.
 """
 
 from __future__ import annotations
@@ -38,23 +43,23 @@
 from dykeshift.configuration.translate import settings_of
 from dykeshift.settings import SettingsError
 
-MOST_RESOURCES = 65_536
-MOST_BODY_BYTES = 4_096
-MOST_TRANSACTION_BYTES = LONGEST  # of an entry of the log
-MOST_KEYS = 1_024  # of one transaction
-MOST_PENDING = 64
-MOST_NAME_LENGTH = 256
-MOST_SERVICES = 64  # that one resource may name
-MOST_LIST_NAMES = 64
+MAX_RESOURCES = 65_536
+MAX_BODY_BYTES = 4_096
+MAX_TRANSACTION_BYTES = LONGEST  # the size limit of a log entry
+MAX_KEYS = 1_024  # per transaction
+MAX_PENDING = 64
+MAX_NAME_LENGTH = 256
+MAX_SERVICES = 64  # services that one resource may reference
+MAX_LIST_NAMES = 64
 
-DELETION_WINDOW = 100  # versions within which deletions count together
-HARMFUL_SHARE = 0.5  # of the resources of a kind, deleted at once
-LEAST_JUDGED = 8  # with fewer resources of a kind than this any number may go
-JUDGED_KINDS = (Kind.TENANT, Kind.ROUTE, Kind.SERVICE)
+DELETION_WINDOW = 100  # in versions: deletions within it are added up
+HARMFUL_SHARE = 0.5  # refuse to delete this share of the resources of a kind within the window
+MIN_HARM_CHECKED_COUNT = 8  # with fewer resources of a kind, any number may be deleted
+HARM_CHECKED_KINDS = (Kind.TENANT, Kind.ROUTE, Kind.SERVICE)
 
 
 class Cause(Enum):
-    """Sorts of objections. `CONFLICT` passes by itself, once what is under way has come to its end."""
+    """Categories of objections. `CONFLICT` is temporary: it ends with the conflicting transaction."""
 
     DUPLICATE = "duplicate"
     FORM = "form"
@@ -67,58 +72,58 @@
 
 @dataclass(frozen=True, slots=True)
 class Objection:
-    """Why a transaction changes nothing now; `text` is a line for people."""
+    """Why a transaction cannot begin now; `text` is human-readable."""
 
     cause: Cause
     text: str
 
 
 class CurrentState(Protocol):
-    """What is asked of the store."""
+    """The part of the store's state that validation reads."""
 
     index: ResourceIndex
     referrers: ReferenceIndex
     pending: dict[int, Pending]
 
     def body(self, key: Key) -> Body | None:
-        """The body in force."""
+        """The body of a key that is in force."""
 
-    def holder(self, key: Key) -> int | None:
-        """The transaction under way that writes a key."""
+    def pending_writer(self, key: Key) -> int | None:
+        """The pending transaction that writes a key."""
 
-    def reader(self, key: Key) -> int | None:
-        """A transaction under way that names a key, with its old bodies or its new ones."""
+    def pending_reader(self, key: Key) -> int | None:
+        """A pending transaction whose old or new bodies reference a key."""
 
     def decided(self, ident: int) -> bool:
-        """Whether this transaction is under way, or was decided lately."""
+        """Whether this transaction is pending or has a remembered outcome."""
 
     def count(self, kind: Kind) -> int:
-        """Live resources of a kind."""
+        """The number of resources of a kind that are in force."""
 
     def established(self, key: Key) -> bool:
-        """Whether a resource was not written within `DELETION_WINDOW` versions."""
+        """Whether a resource exists and was last written before the deletion window."""
 
-    def deleted_lately(self, kind: Kind) -> int:
-        """How many established ones of a kind were deleted within `DELETION_WINDOW` versions."""
+    def recently_deleted(self, kind: Kind) -> int:
+        """How many established resources of a kind were deleted within the deletion window."""
 
-    def most_lately(self, kind: Kind) -> int:
-        """The most of a kind that there were within `DELETION_WINDOW` versions."""
+    def recent_maximum(self, kind: Kind) -> int:
+        """The largest number of resources of a kind within the deletion window."""
 
 
-Running = Mapping[str, frozenset[str]]  # the servers that run, by service
-Bodies = dict[Key, Body | None]  # what a transaction makes of its keys
+RunningServers = Mapping[str, frozenset[str]]  # running servers by service
+BodiesByKey = dict[Key, Body | None]  # new bodies by key; None: the key is deleted
 
 
 def find_objection(
-    state: CurrentState, transaction: Transaction, running: Running | None = None
+    state: CurrentState, transaction: Transaction, running: RunningServers | None = None
 ) -> Objection | None:
-    """The first objection; None where the transaction can begin now."""
+    """Return the first objection to a transaction, or None if it can begin now."""
     if state.decided(transaction.ident):
         return Objection(Cause.DUPLICATE, f"transaction {transaction.ident} is known already")
-    found = _form(transaction) or _sizes(state, transaction)
+    found = _check_form(transaction) or _check_sizes(state, transaction)
     if found is not None:
         return found
-    bodies: Bodies = dict.fromkeys(transaction.deletes)
+    bodies: BodiesByKey = dict.fromkeys(transaction.deletes)
     for put in transaction.puts:
         try:
             bodies[put.key] = decode_body(put.key.kind, put.body)
@@ -128,45 +133,45 @@
         found = check(state, transaction, bodies)
         if found is not None:
             return found
-    return _servers_put_out(state, bodies, running)
+    return _check_all_servers_banned(state, bodies, running)
 
 
 # ---- form and size ----
 
 
-def _form(transaction: Transaction) -> Objection | None:
+def _check_form(transaction: Transaction) -> Objection | None:
     keys = transaction.written_keys()
     if not keys:
         return Objection(Cause.FORM, "it changes nothing")
     if len(set(keys)) < len(keys):
         return Objection(Cause.FORM, "a key is written twice")
     for key in keys:
-        if not key.name or len(key.name) > MOST_NAME_LENGTH or not key.name.isprintable():
+        if not key.name or len(key.name) > MAX_NAME_LENGTH or not key.name.isprintable():
             return Objection(
-                Cause.FORM, f"{key.kind.name.lower()}: no name of 1 to {MOST_NAME_LENGTH} letters"
+                Cause.FORM, f"{key.kind.name.lower()}: no name of 1 to {MAX_NAME_LENGTH} letters"
             )
         if key.kind is Kind.SERVICE and "/" in key.name:
             return Objection(Cause.FORM, f"{key}: the name of a service has no slash")
     return None
 
 
-def _sizes(state: CurrentState, transaction: Transaction) -> Objection | None:
+def _check_sizes(state: CurrentState, transaction: Transaction) -> Objection | None:
     keys = transaction.written_keys()
-    if len(keys) > MOST_KEYS:
-        return Objection(Cause.LIMIT, f"{len(keys)} keys are more than {MOST_KEYS}")
+    if len(keys) > MAX_KEYS:
+        return Objection(Cause.LIMIT, f"{len(keys)} keys are more than {MAX_KEYS}")
     for put in transaction.puts:
-        if len(put.body) > MOST_BODY_BYTES:
-            return Objection(Cause.LIMIT, f"{put.key}: {len(put.body)} bytes are more than {MOST_BODY_BYTES}")
+        if len(put.body) > MAX_BODY_BYTES:
+            return Objection(Cause.LIMIT, f"{put.key}: {len(put.body)} bytes are more than {MAX_BODY_BYTES}")
     size = len(encode_entry(transaction))
-    if size > MOST_TRANSACTION_BYTES:
-        return Objection(Cause.LIMIT, f"{size} bytes are more than {MOST_TRANSACTION_BYTES}")
-    if len(state.pending) >= MOST_PENDING:
-        return Objection(Cause.LIMIT, f"{MOST_PENDING} transactions are under way already")
+    if size > MAX_TRANSACTION_BYTES:
+        return Objection(Cause.LIMIT, f"{size} bytes are more than {MAX_TRANSACTION_BYTES}")
+    if len(state.pending) >= MAX_PENDING:
+        return Objection(Cause.LIMIT, f"{MAX_PENDING} transactions are under way already")
     coming = [*state.pending.values()]
     total = state.index.count + sum(_created(state, one.transaction) for one in coming)
     total += _created(state, transaction)
-    if total > MOST_RESOURCES:
-        return Objection(Cause.LIMIT, f"{total} resources would be more than {MOST_RESOURCES}")
+    if total > MAX_RESOURCES:
+        return Objection(Cause.LIMIT, f"{total} resources would be more than {MAX_RESOURCES}")
     return None
 
 
@@ -177,22 +182,22 @@
 # ---- bodies ----
 
 
-def _bodies(state: CurrentState, transaction: Transaction, bodies: Bodies) -> Objection | None:
+def _check_bodies(state: CurrentState, transaction: Transaction, bodies: BodiesByKey) -> Objection | None:
     for key, body in bodies.items():
-        text = _body_fault(key, body) if body is not None else ""
+        text = _body_error(key, body) if body is not None else ""
         if text:
             return Objection(Cause.FORM, f"{key}: {text}")
     return None
 
 
-def _body_fault(key: Key, body: Body) -> str:
+def _body_error(key: Key, body: Body) -> str:
     if isinstance(body, ClassTerms | Service):
-        return _terms_fault(key, body)
+        return _terms_error(key, body)
     if isinstance(body, Tenant):
         if not math.isfinite(body.share) or body.share <= 0:
             return f"a share of {body.share!r}, and a positive number is wanted"
-        if len(body.services) > MOST_SERVICES:
-            return f"{len(body.services)} services are more than {MOST_SERVICES}"
+        if len(body.services) > MAX_SERVICES:
+            return f"{len(body.services)} services are more than {MAX_SERVICES}"
         if len(set(body.services)) < len(body.services):
             return "a service is named twice"
     if isinstance(body, Ban) and key != ban_key(body.service, body.server):
@@ -200,15 +205,15 @@
     if isinstance(body, ListWord):
         if key != list_word_key(body.word, body.service):
             return "its name is not that of its word and service"
-        if len(body.names) > MOST_LIST_NAMES:
-            return f"{len(body.names)} names are more than {MOST_LIST_NAMES}"
+        if len(body.names) > MAX_LIST_NAMES:
+            return f"{len(body.names)} names are more than {MAX_LIST_NAMES}"
         if body.word == "doubt" and body.names not in (("serve",), ("refuse",)):
             return "doubt is to serve or to refuse"
     return ""
 
 
-def _terms_fault(key: Key, body: ClassTerms | Service) -> str:
-    """What the settings' own reader has against it."""
+def _terms_error(key: Key, body: ClassTerms | Service) -> str:
+    """The error of the settings parser for these terms; empty: none."""
     numbers = [getattr(body, name) for name in body.__struct_fields__]
     if any(isinstance(value, float) and not math.isfinite(value) for value in numbers):
         return "a number is not finite"
@@ -225,7 +230,9 @@
 # ---- versions, conflicts, references ----
 
 
-def _expected(state: CurrentState, transaction: Transaction, bodies: Bodies) -> Objection | None:
+def _check_expected_versions(
+    state: CurrentState, transaction: Transaction, bodies: BodiesByKey
+) -> Objection | None:
     for key, version in transaction.expected.items():
         held = state.index.get(key)
         found = held.version if held is not None else 0
@@ -237,27 +244,27 @@
     return None
 
 
-def _conflict(state: CurrentState, transaction: Transaction, bodies: Bodies) -> Objection | None:
+def _check_conflicts(state: CurrentState, transaction: Transaction, bodies: BodiesByKey) -> Objection | None:
     named = [target for body in bodies.values() if body is not None for target in references(body)]
     for key in (*bodies, *transaction.expected, *named):
-        holder = state.holder(key)
+        holder = state.pending_writer(key)
         if holder is not None:
             return Objection(Cause.CONFLICT, f"{key} is being changed by transaction {holder}")
     for key in bodies:
-        reader = state.reader(key)
+        reader = state.pending_reader(key)
         if reader is not None:
             return Objection(Cause.CONFLICT, f"{key} is named by transaction {reader}, which is under way")
     return None
 
 
-def _references(state: CurrentState, transaction: Transaction, bodies: Bodies) -> Objection | None:
+def _check_references(state: CurrentState, transaction: Transaction, bodies: BodiesByKey) -> Objection | None:
     for key, body in bodies.items():
         for target in references(body) if body is not None else ():
             found = bodies[target] if target in bodies else state.index.get(target)
             if found is None:
                 return Objection(Cause.REFERENCE, f"{key} names {target}, which does not exist")
     for key in transaction.deletes:
-        left = min((name for name in state.referrers.all(key) if name not in bodies), default=None)
+        left = min((name for name in state.referrers.all_referrers(key) if name not in bodies), default=None)
         if left is not None:
             return Objection(Cause.REFERENCE, f"{key} is named by {left}")
     return None
@@ -266,17 +273,19 @@
 # ---- harm ----
 
 
-def _deletions(state: CurrentState, transaction: Transaction, bodies: Bodies) -> Objection | None:
-    """Half of a kind deleted at once."""
+def _check_mass_deletions(
+    state: CurrentState, transaction: Transaction, bodies: BodiesByKey
+) -> Objection | None:
+    """Refuses to delete half of the resources of a kind within the deletion window."""
     deletes = [*transaction.deletes]
     for one in state.pending.values():
         deletes += one.transaction.deletes
-    for kind in JUDGED_KINDS:
+    for kind in HARM_CHECKED_KINDS:
         keys = [key for key in deletes if key.kind is kind]
-        before = state.most_lately(kind)
-        if before < LEAST_JUDGED or not any(key.kind is kind for key in transaction.deletes):
+        before = state.recent_maximum(kind)
+        if before < MIN_HARM_CHECKED_COUNT or not any(key.kind is kind for key in transaction.deletes):
             continue
-        gone = state.deleted_lately(kind) + sum(map(state.established, keys))
+        gone = state.recently_deleted(kind) + sum(map(state.established, keys))
         left = state.count(kind) - len(keys)
         if gone >= before * HARMFUL_SHARE or left <= before * HARMFUL_SHARE:
             gone = max(gone, before - left)
@@ -284,12 +293,14 @@
     return None
 
 
-def _servers_put_out(state: CurrentState, bodies: Bodies, running: Running | None) -> Objection | None:
-    """All servers of a service put out: of those that it declares, and of those that run."""
+def _check_all_servers_banned(
+    state: CurrentState, bodies: BodiesByKey, running: RunningServers | None
+) -> Objection | None:
+    """Refuses bans of all declared, or of all running, servers of a service."""
     touched = {body.service for body in bodies.values() if isinstance(body, Ban)}
     touched |= {key.name for key, body in bodies.items() if isinstance(body, Service)}
     for name in sorted(touched):
-        out = _servers_out(state, name, bodies)
+        out = _banned_servers(state, name, bodies)
         if not out:
             continue
         own = bodies.get(Key(Kind.SERVICE, name)) or state.body(Key(Kind.SERVICE, name))
@@ -306,11 +317,11 @@
     return None
 
 
-def _servers_out(state: CurrentState, service: str, bodies: Bodies) -> set[str]:
-    """Servers of a service that are out, or may be: also those of transactions under way."""
+def _banned_servers(state: CurrentState, service: str, bodies: BodiesByKey) -> set[str]:
+    """The servers of a service that are banned, or would be by a pending transaction."""
     target = Key(Kind.SERVICE, service)
     prefix = len(ban_key(service, "").name)
-    keys = set(state.referrers.of_kind(target, Kind.BAN))
+    keys = set(state.referrers.referrers_of_kind(target, Kind.BAN))
     keys |= {
         put.key
         for one in state.pending.values()
@@ -322,5 +333,11 @@
     return {key.name[prefix:] for key in keys}
 
 
-_Check = Callable[[CurrentState, Transaction, Bodies], Objection | None]
-_CHECKS: tuple[_Check, ...] = (_bodies, _conflict, _expected, _references, _deletions)
+_Check = Callable[[CurrentState, Transaction, BodiesByKey], Objection | None]
+_CHECKS: tuple[_Check, ...] = (
+    _check_bodies,
+    _check_conflicts,
+    _check_expected_versions,
+    _check_references,
+    _check_mass_deletions,
+)
--- a/dykeshift/configuration/wire.py
+++ b/dykeshift/configuration/wire.py
@@ -1,16 +1,16 @@
-"""Datagrams between subscribers and replicas of the configuration, byte by byte.
+"""Wire format of the datagrams between subscribers and replicas of the configuration.
 
-A datagram is at most 256 bytes, numbers are big-endian (kinds from 96 on; docs/design/subscribers.md):
+A datagram has at most 256 bytes; numbers are big-endian (kinds from 96 on; docs/design/subscribers.md):
 
      0  version (1)                          4  session, 8 bytes
-     1  kind                                12  the kind's own fields, then text or a chunk where it has one
-     2  tag of the fleet's name, 2 bytes    -8  seal: BLAKE2s over all before it, as the membership's
+     1  kind                                12  fields of the kind, then text or a chunk if it has one
+     2  tag of the fleet's name, 2 bytes    -8  MAC: BLAKE2s over all preceding bytes, as in `view.wire`
 
-The session of HELLO, WELCOME and WAIT is a number that the subscriber drew for this attempt; that of AUDIT
-and AUDITED one that it drew for this question. All others carry the token that the replica drew and told in
-WELCOME: what was recorded in an earlier session has another one, and counts for nothing.
+The session of HELLO, WELCOME and WAIT is a random number that the subscriber chose for this attempt; that of
+AUDIT and AUDITED one that it chose for this query. All others carry the token that the replica chose and sent
+in WELCOME, so datagrams replayed from an earlier session are ignored.
 
-Any bytes at all end in a message or in `Bad` with one of the membership's REASONS.
+Decoding any bytes gives a message or raises `Bad` with one of the REASONS of `view.wire`.
 """
 
 from __future__ import annotations
@@ -27,53 +27,53 @@
 HEAD = struct.Struct(">BBHQ")
 FIRST_KIND = 96
 LAST_KIND = 127
-NO_AGE = 0xFFFFFFFF  # of a replica that does not know how fresh its store is
-LONGEST_CURSOR = 110  # bytes: with the longest name it fits into a HELLO
+NO_AGE = 0xFFFFFFFF  # the age sent by a replica that does not know how fresh its store is
+LONGEST_CURSOR = 110  # bytes; fits into a HELLO with a name of maximum length
 
 
 class Kind(IntEnum):
-    """What a datagram is; `to replica` and `to subscriber` say who sends it to whom."""
+    """The kinds of datagrams, each with its direction."""
 
-    HELLO = 96  # to replica: who subscribes, and what it holds
-    WELCOME = 97  # to subscriber: the session's token; how much of the scope has arrived
-    WAIT = 98  # to subscriber: not now; when to ask again
+    HELLO = 96  # to replica: who subscribes, and its current state
+    WELCOME = 97  # to subscriber: the session token; how many bytes of the scope have arrived
+    WAIT = 98  # to subscriber: not admitted now; when to retry
     SCOPE = 99  # to replica: a piece of the scope
     DATA = 100  # to subscriber: a chunk of one part
-    ACK = 101  # to replica: which chunks have arrived, which version is shown
-    RENEW = 102  # to replica: asks for a lease, says which version is shown
-    GRANT = 103  # to subscriber: the lease, stamped with the store's version
+    ACK = 101  # to replica: which chunks have arrived, which version is applied
+    RENEW = 102  # to replica: asks for a lease, tells which version is applied
+    GRANT = 103  # to subscriber: a lease, stamped with the store's version
     BYE = 104  # to replica: the subscriber has left
-    AUDIT = 105  # to any replica: version and digest of a few services?
-    AUDITED = 106  # to subscriber
-    GONE = 107  # to subscriber: there is no such session
-    FENCE = 108  # between control machines: nobody acts on an older version by a lease of the sender's
+    AUDIT = 105  # to any replica: asks for version and digest of a few services
+    AUDITED = 106  # to subscriber: the answer to AUDIT
+    GONE = 107  # to subscriber: the session does not exist
+    FENCE = 108  # between control machines: no lease by the sender is on an older version
 
 
 class WaitReason(IntEnum):
-    """Why a replica does not take a subscriber now."""
+    """Why a replica does not admit a subscriber now."""
 
-    BUSY = 1  # as many catch up as it can bear
-    FULL = 2  # it serves as many as it may
+    BUSY = 1  # the limit of subscribers that catch up at once
+    FULL = 2  # the limit of subscribers
     LAGGING = 3  # the subscriber has a later version than this replica
-    UNREADY = 4  # it does not know how fresh its store is
+    UNREADY = 4  # the replica does not know how fresh its store is
 
 
 class ByeReason(IntEnum):
     """Why a subscriber leaves a replica."""
 
-    ENDING = 1  # the process ends
+    ENDING = 1  # the process shuts down
     SILENT = 2  # no answer
-    LAGGING = 3  # no lease by it, or another replica has more
-    DIGEST = 4  # what it sent is not what it said
+    LAGGING = 3  # it grants no lease, or another replica has a later version
+    DIGEST = 4  # the data that it sent does not match the digest that it sent
     AUDIT = 5  # two other replicas contradict it
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Who subscribes. `birth`: Unix milliseconds of the process's start; `attempt` counts its HELLOs.
+    """Opens a session. `birth`: Unix milliseconds of the process's start; `attempt` counts its HELLOs.
 
-    `lineage`: the history that `shown`, the version which the subscriber acts on, belongs to. `cursor`: where
-    its catching up stopped, as `catch_up.pack_position` has it.
+    `shown`: the version that the subscriber acts on, of the store's history `lineage`. `cursor`: the position
+    at which its catch-up stopped, encoded by `catch_up.pack_position`.
     """
 
     session: int
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
-    """`scope_offset`: bytes of the scope that the replica has; all of them: the session has begun."""
+    """Answers a HELLO. `scope_offset`: bytes of the scope received; with all of them the session begins."""
 
     session: int
     token: int
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """`retry_ms`: milliseconds until it is worth asking again."""
+    """Refuses a HELLO for now. `retry_ms`: milliseconds to wait before the next one."""
 
     session: int
     lineage: int
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScopePiece:
-    """Bytes of the scope from `offset` on."""
+    """Bytes of the encoded scope, beginning at `offset`."""
 
     session: int
     offset: int
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """All chunks before `following` have arrived, and those of the bits of `ahead` behind it."""
+    """Acknowledges all chunks before `following`, and later ones by the bits of `ahead`."""
 
     session: int
     transfer: int
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renew:
-    """Asks for a lease; `nonce` comes back with it."""
+    """Asks for a lease; the answer carries the same `nonce`."""
 
     session: int
     nonce: int
@@ -151,10 +151,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A lease on `stamp`, the version of the replica's store, which was fresh `age_ms` ago.
+    """A lease on `stamp`, the version of the replica's store, which was up to date `age_ms` ago.
 
-    `unchanged_since`: from that version on up to `stamp` nothing has changed in the subscriber's scope.
-    `fenced`: nobody holds a lease by this replica on an older version.
+    `unchanged_since`: nothing in the subscriber's scope has changed from that version up to `stamp`.
+    `fenced`: no subscriber holds a lease by this replica on an older version.
     """
 
     session: int
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bye:
-    """The subscriber has left."""
+    """The subscriber ends the session."""
 
     session: int
     reason: ByeReason
@@ -175,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Audit:
-    """Asks for version and digest of a scope that fits into one datagram."""
+    """Asks for the version and digest of a scope small enough for one datagram."""
 
     session: int
     scope: bytes
@@ -183,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Audited:
-    """What this replica has of the scope that was asked about."""
+    """The version and digest of the audited scope at this replica."""
 
     session: int
     lineage: int
@@ -194,14 +194,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Gone:
-    """There is no session of that token."""
+    """There is no session with that token."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    """A replica's fence, to all others of the tier. `session`: the sender's number."""
+    """The fence of a replica, sent to all others of the tier. `session`: the number of the sender."""
 
     session: int
     lineage: int
@@ -215,9 +215,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _Layout:
-    """How a kind's fields behind the session lie: numbers by `fixed`, then bytes to the end where it has."""
+    """Layout of the fields after the session: numbers packed by `fixed`, then, if `chunked`, bytes."""
 
-    made: Callable[..., Message]
+    message_type: Callable[..., Message]
     fixed: struct.Struct
     chunked: bool = False
 
@@ -237,41 +237,41 @@
     Kind.GONE: _Layout(Gone, struct.Struct(">")),
     Kind.FENCE: _Layout(Fence, struct.Struct(">QQ")),
 }
-_KINDS: dict[Callable[..., Message], Kind] = {layout.made: kind for kind, layout in _LAYOUTS.items()} | {
-    Hello: Kind.HELLO
-}
+_KINDS: dict[Callable[..., Message], Kind] = {
+    layout.message_type: kind for kind, layout in _LAYOUTS.items()
+} | {Hello: Kind.HELLO}
 
 _FIELDS: dict[Kind, tuple[str, ...]] = {
-    kind: tuple(inspect.signature(layout.made).parameters)[1:] for kind, layout in _LAYOUTS.items()
+    kind: tuple(inspect.signature(layout.message_type).parameters)[1:] for kind, layout in _LAYOUTS.items()
 }
 
 
-def _most(kind: Kind) -> int:
+def _max_payload(kind: Kind) -> int:
     return MOST - SEAL - HEAD.size - _LAYOUTS[kind].fixed.size
 
 
-CHUNK = _most(Kind.DATA)  # bytes of a part that one datagram carries
-SCOPE_CHUNK = _most(Kind.SCOPE)  # bytes of a scope that one datagram carries
-AUDIT_SCOPE = _most(Kind.AUDIT)  # bytes of a scope that can be audited
+CHUNK = _max_payload(Kind.DATA)  # maximum bytes of a part in one datagram
+SCOPE_CHUNK = _max_payload(Kind.SCOPE)  # maximum bytes of a scope in one datagram
+AUDIT_SCOPE = _max_payload(Kind.AUDIT)  # maximum bytes of a scope that can be audited
 
 
 def is_ours(data: bytes) -> bool:
-    """Whether a datagram on the balancers' port is of the configuration."""
+    """Whether a datagram on the balancers' shared port belongs to this protocol."""
     return len(data) > 1 and FIRST_KIND <= data[1] <= LAST_KIND
 
 
 def is_fence(data: bytes) -> bool:
-    """Whether a datagram is one between control machines."""
+    """Whether a datagram is a FENCE, sent between control machines."""
     return len(data) > 1 and data[1] == Kind.FENCE
 
 
 def encode(message: Message, seal: Seal) -> bytes:
-    """ValueError where the message does not fit into a datagram."""
+    """Encode a message; raises ValueError if it does not fit into a datagram."""
     kind = _KINDS[type(message)]
     head = HEAD.pack(VERSION, kind, seal.tag, message.session)
     data = head + (_pack_hello(message) if isinstance(message, Hello) else _pack(kind, message))
     if len(data) + SEAL > MOST:
-        raise ValueError(f"{len(data) + SEAL} bytes are no datagram")
+        raise ValueError(f"message too long: {len(data) + SEAL} bytes, limit {MOST}")
     return data + seal.of(data)
 
 
@@ -286,7 +286,7 @@
 def _pack_hello(message: Hello) -> bytes:
     name = message.name.encode()
     if not 0 < len(name) <= LONGEST_NAME:
-        raise ValueError("a name has 1 to 64 bytes")
+        raise ValueError(f"subscriber name must have 1 to {LONGEST_NAME} bytes")
     numbers = (
         message.birth,
         message.attempt,
@@ -299,7 +299,7 @@
 
 
 def decode(data: bytes, seal: Seal) -> Message:
-    """Raises Bad for whatever is no message of this fleet."""
+    """Decode a datagram; raises Bad if it is malformed or of another fleet."""
     kind, session = unseal(data, seal, HEAD, HEAD.size)
     body = data[HEAD.size : -SEAL]
     try:
@@ -318,17 +318,17 @@
         values[-1] = WaitReason(values[-1])
     elif kind is Kind.BYE:
         values[-1] = ByeReason(values[-1])
-    return layout.made(*values)
+    return layout.message_type(*values)
 
 
 def _unpack_hello(session: int, body: bytes) -> Hello:
     birth, attempt, lineage, shown, digest, size, length = _HELLO.unpack_from(body)
     name = body[_HELLO.size : _HELLO.size + length]
     if not 0 < length <= LONGEST_NAME or len(name) < length:
-        raise ValueError("a name is cut off")
+        raise ValueError("subscriber name is empty, too long or truncated")
     cursor = body[_HELLO.size + length :]
     if len(cursor) > LONGEST_CURSOR:
-        raise ValueError("no cursor is so long")
+        raise ValueError(f"cursor too long: {len(cursor)} bytes, limit {LONGEST_CURSOR}")
     return Hello(session, birth, attempt, lineage, shown, digest, size, name.decode(), cursor)
 
 
--- a/tests/configuration/defects.py
+++ b/tests/configuration/defects.py
@@ -1,4 +1,4 @@
-"""Defects put into the store on purpose, each by what it undoes; test_defects has what finds them."""
+"""Seeded defects of the store, named by what each one breaks; test_defects says what finds them."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 def without_check(name: str) -> Defect:
-    """Validation with one of its checks left out."""
+    """Validation without one of its checks."""
     left = tuple(check for check in validation._CHECKS if check.__name__ != name)
     assert len(left) == len(validation._CHECKS) - 1
     return patched(validation, "_CHECKS", left)
 
 
-def _commits_half(self: ConfigStore, transaction: Transaction) -> None:
+def _commits_half_of_the_puts(self: ConfigStore, transaction: Transaction) -> None:
     half = msgspec.structs.replace(transaction, puts=transaction.puts[: max(1, len(transaction.puts) // 2)])
     _commit(self, half)
 
 
-def _loses_the_tombstone(self: ResourceIndex, name: index.TableName, tombstone: Resource) -> None:
-    if name is index.ALL:
+def _omits_tombstone(self: ResourceIndex, name: index.TableName, tombstone: Resource) -> None:
+    if name is index.ALL_RESOURCES:
         _insert_tombstone(self, name, tombstone)
 
 
-def _forgets_nothing(self: ResourceIndex) -> None:
+def _evicts_nothing(self: ResourceIndex) -> None:
     pass
 
 
@@ -50,7 +50,7 @@
 
 def _digest_blind_to_deletions(self: ResourceIndex, key: Key) -> Resource | None:
     before = self.get(key)
-    after = _take_out(self, key)
+    after = _remove_live(self, key)
     if before is not None:
         for name in index._tables_of(before):
             self.tables[name].digest ^= resource_digest(before)
@@ -60,19 +60,19 @@
 def _commits_without_joint(self: ConfigStore, advance: Advance) -> None:
     pending = self.pending.get(advance.ident)
     if pending is not None and advance.phase is Phase.COMMITTED:
-        self._release(pending)
+        self._release_keys(pending)
         self._commit(pending.transaction)
-        self._end(advance.ident, Phase.COMMITTED)
+        self._record_outcome(advance.ident, Phase.COMMITTED)
     else:
         _advance(self, advance)
 
 
-def _aborts_and_stays_joint(self: ConfigStore, pending: Pending, reason: str) -> None:
-    self._release(pending)
-    self._end(pending.transaction.ident, Phase.ABORTED, reason)
+def _aborts_but_stays_joint(self: ConfigStore, pending: Pending, reason: str) -> None:
+    self._release_keys(pending)
+    self._record_outcome(pending.transaction.ident, Phase.ABORTED, reason)
 
 
-def _releases_its_keys_alone(self: ConfigStore, pending: Pending) -> None:
+def _releases_only_written_keys(self: ConfigStore, pending: Pending) -> None:
     ident = pending.transaction.ident
     del self.pending[ident]
     for key in pending.transaction.written_keys():
@@ -85,23 +85,23 @@
     return zlib.compress(msgspec.msgpack.encode(state))
 
 
-def _keeps_its_place(self: ResourceIndex, resource: Resource) -> None:
-    """A resource that is written again goes to the beginning of its tables."""
+def _inserts_at_the_front(self: ResourceIndex, resource: Resource) -> None:
+    """A resource that is written again is put first in its tables instead of last."""
     _insert_live(self, resource)
     for name in index._tables_of(resource):
         table = self.tables[name]
         table.entries = {resource.key: resource, **table.entries}
 
 
-def _references_stay(self: ReferenceIndex, key: Key, body: Any) -> None:
+def _keeps_references(self: ReferenceIndex, key: Key, body: Any) -> None:
     pass
 
 
-def _never_meant_before(self: ConfigStore, key: Key) -> bool:
+def _never_reused(self: ConfigStore, key: Key) -> bool:
     return False
 
 
-def _compacts_silently(self: ResourceIndex, version: int) -> bool:
+def _never_requires_a_snapshot(self: ResourceIndex, version: int) -> bool:
     return False
 
 
@@ -109,28 +109,28 @@
     return False
 
 
-_commit, _take_out = ConfigStore._commit, ResourceIndex._take_out
+_commit, _remove_live = ConfigStore._commit, ResourceIndex._remove_live
 _insert_live, _insert_tombstone = ResourceIndex._insert_live, ResourceIndex._insert_tombstone
 _advance, _snapshot = ConfigStore._advance, ConfigStore.snapshot
 
 DEFECTS: dict[str, Defect] = {
-    "expected versions not checked": without_check("_expected"),
-    "parallel transactions on one key": without_check("_conflict"),
-    "a reference left dangling": without_check("_references"),
-    "half of the tenants may go": without_check("_deletions"),
-    "half a transaction applied": patched(ConfigStore, "_commit", _commits_half),
-    "a tombstone lost": patched(ResourceIndex, "_insert_tombstone", _loses_the_tombstone),
-    "tombstones without end": patched(ResourceIndex, "_forget", _forgets_nothing),
-    "outcomes without end": patched(ConfigStore, "_end", _keeps_all_outcomes),
+    "expected versions not checked": without_check("_check_expected_versions"),
+    "parallel transactions on one key": without_check("_check_conflicts"),
+    "a reference left dangling": without_check("_check_references"),
+    "half of the tenants may go": without_check("_check_mass_deletions"),
+    "half a transaction applied": patched(ConfigStore, "_commit", _commits_half_of_the_puts),
+    "a tombstone lost": patched(ResourceIndex, "_insert_tombstone", _omits_tombstone),
+    "tombstones without end": patched(ResourceIndex, "_evict_tombstones", _evicts_nothing),
+    "outcomes without end": patched(ConfigStore, "_record_outcome", _keeps_all_outcomes),
     "deletions counted without end": patched(ConfigStore, "_commit", _keeps_all_deletions),
-    "digest blind to a deletion": patched(ResourceIndex, "_take_out", _digest_blind_to_deletions),
+    "digest blind to a deletion": patched(ResourceIndex, "_remove_live", _digest_blind_to_deletions),
     "in force without the joint phase": patched(ConfigStore, "_advance", _commits_without_joint),
-    "aborted and still joint": patched(ConfigStore, "_abort", _aborts_and_stays_joint),
-    "what it names stays taken": patched(ConfigStore, "_release", _releases_its_keys_alone),
+    "aborted and still joint": patched(ConfigStore, "_abort", _aborts_but_stays_joint),
+    "what it names stays taken": patched(ConfigStore, "_release_keys", _releases_only_written_keys),
     "a snapshot forgets what is under way": patched(ConfigStore, "snapshot", _snapshot_without_pending),
-    "changes out of order": patched(ResourceIndex, "_insert_live", _keeps_its_place),
-    "references stay behind": patched(ReferenceIndex, "remove", _references_stay),
-    "a name used again at once": patched(ConfigStore, "_meant_before", _never_meant_before),
-    "old changes missing in silence": patched(ResourceIndex, "snapshot_needed", _compacts_silently),
-    "a route moved at once": patched(meets, "_route", _guards_no_route),
+    "changes out of order": patched(ResourceIndex, "_insert_live", _inserts_at_the_front),
+    "references stay behind": patched(ReferenceIndex, "remove", _keeps_references),
+    "a name used again at once": patched(ConfigStore, "_name_was_used", _never_reused),
+    "old changes missing in silence": patched(ResourceIndex, "snapshot_needed", _never_requires_a_snapshot),
+    "a route moved at once": patched(meets, "_route_guarded", _guards_no_route),
 }
--- a/tests/configuration/model.py
+++ b/tests/configuration/model.py
@@ -22,16 +22,16 @@
 from dykeshift.configuration.transactions import Advance, Phase, Transaction
 from dykeshift.configuration.validation import (
     HARMFUL_SHARE,
-    JUDGED_KINDS,
-    LEAST_JUDGED,
-    MOST_PENDING,
+    HARM_CHECKED_KINDS,
+    MIN_HARM_CHECKED_COUNT,
+    MAX_PENDING,
 )
 
 View = dict[Key, Resource]  # live resources
 
 
 @dataclass
-class UnderWay:
+class PendingTransaction:
     transaction: Transaction
     phase: Phase
     guarded: list[Key]
@@ -54,7 +54,7 @@
     deletion_window: int
     view: View = field(default_factory=dict)
     version: int = 0
-    under_way: dict[int, UnderWay] = field(default_factory=dict)
+    under_way: dict[int, PendingTransaction] = field(default_factory=dict)
     ends: dict[int, Phase] = field(default_factory=dict)
     history: list[View] = field(default_factory=lambda: [{}])  # by version
     removed: list[tuple[int, Key, bool]] = field(default_factory=list)  # version, key, whether established
@@ -64,7 +64,7 @@
         held = self.view.get(key)
         return decode_body(key.kind, held.body) if held is not None and held.body is not None else None
 
-    def in_force(self, kind: Kind, view: View | None = None) -> int:
+    def count_in_force(self, kind: Kind, view: View | None = None) -> int:
         held = (self.view if view is None else view).values()
         return sum(r.key.kind is kind and r.body is not None for r in held)
 
@@ -88,7 +88,7 @@
         bodies = bodies_of(transaction)
         keys = [key for key in bodies if self._needs_joint(key, bodies, forgotten)]
         if keys or transaction.checked:
-            self.under_way[transaction.ident] = UnderWay(transaction, Phase.PREPARED, keys)
+            self.under_way[transaction.ident] = PendingTransaction(transaction, Phase.PREPARED, keys)
         else:
             self._commit(transaction)
 
@@ -148,19 +148,19 @@
         bodies = bodies_of(transaction)
         return (
             bool(bodies)
-            and len(self.under_way) < MOST_PENDING
-            and not self._touches(bodies, transaction)
+            and len(self.under_way) < MAX_PENDING
+            and not self._conflicts(bodies, transaction)
             and all(self._version(k) == v for k, v in transaction.expected.items())
             and all(key in self.view for key in transaction.deletes)
-            and not self._dangles(bodies)
+            and not self._leaves_dangling_reference(bodies)
             and not self._deletes_too_much(transaction)
-            and not self._puts_all_out(bodies)
+            and not self._bans_all_servers(bodies)
         )
 
     def _version(self, key: Key) -> int:
         return self.view[key].version if key in self.view else 0
 
-    def _touches(self, bodies: dict[Key, Body | None], transaction: Transaction) -> bool:
+    def _conflicts(self, bodies: dict[Key, Body | None], transaction: Transaction) -> bool:
         wanted = set(bodies) | set(transaction.expected)
         wanted |= {t for body in bodies.values() if body is not None for t in references(body)}
         for one in self.under_way.values():
@@ -173,7 +173,7 @@
                 return True
         return False
 
-    def _dangles(self, bodies: dict[Key, Body | None]) -> bool:
+    def _leaves_dangling_reference(self, bodies: dict[Key, Body | None]) -> bool:
         after = {key: self.body(key) for key in self.view} | bodies
         there = {key for key in self.view if key not in bodies} | {
             k for k, b in bodies.items() if b is not None
@@ -184,19 +184,22 @@
         window = self.deletion_window
         first = max(0, self.version - window)
         coming = [key for one in self.under_way.values() for key in one.transaction.deletes]
-        for kind in JUDGED_KINDS:
+        for kind in HARM_CHECKED_KINDS:
             own = [key for key in transaction.deletes if key.kind is kind]
             keys = own + [key for key in coming if key.kind is kind]
-            before = max(self.in_force(kind, view) for view in [*self.history[first:], self.view])
-            if not own or before < LEAST_JUDGED:
+            before = max(self.count_in_force(kind, view) for view in [*self.history[first:], self.view])
+            if not own or before < MIN_HARM_CHECKED_COUNT:
                 continue
             gone = sum(k.kind is kind and old and v > self.version - window for v, k, old in self.removed)
             gone += sum(k in self.view and self.view[k].version <= self.version - window for k in keys)
-            if gone >= before * HARMFUL_SHARE or self.in_force(kind) - len(keys) <= before * HARMFUL_SHARE:
+            if (
+                gone >= before * HARMFUL_SHARE
+                or self.count_in_force(kind) - len(keys) <= before * HARMFUL_SHARE
+            ):
                 return True
         return False
 
-    def _puts_all_out(self, bodies: dict[Key, Body | None]) -> bool:
+    def _bans_all_servers(self, bodies: dict[Key, Body | None]) -> bool:
         after = {key: body for key in self.view if (body := self.body(key)) is not None}
         for one in self.under_way.values():
             after |= {k: b for k, b in one.bodies().items() if isinstance(b, Ban)}
--- a/tests/configuration/test_catch_up.py
+++ b/tests/configuration/test_catch_up.py
@@ -166,7 +166,7 @@
     take_all(store, state)
     before = (state.version, state.resources(), state.digest())
     changed = Resource(tenant_key(0), store.version + 1, encode_body(Tenant(("a",), 9.0)))
-    gone = Resource(tenant_key(1), store.version + 2, None, concerned=("b",))
+    gone = Resource(tenant_key(1), store.version + 2, None, former_services=("b",))
     new = Resource(tenant_key(900), store.version + 2, encode_body(Tenant(("a",))))
     with pytest.raises(DigestError):
         state.change(store.version + 2, 1234, [changed, gone, new])
@@ -295,7 +295,7 @@
         assert queue.request(0, f"holder-{number}") == 0
     waits = [queue.request(0, f"waiting-{number}") for number in range(40)]
     assert waits == sorted(waits) and waits[0] < waits[20]
-    assert waits[-1] <= AdmissionQueue.LONGEST
+    assert waits[-1] <= AdmissionQueue.MAX_WAIT
 
 
 def test_the_module_names_its_part_size() -> None:
--- a/tests/configuration/test_coordinator.py
+++ b/tests/configuration/test_coordinator.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dykeshift.configuration.coordinator import SECOND, Coordinator, CoordinatorOptions, FenceReport
-from dykeshift.configuration.queue import MOST_WAITING
+from dykeshift.configuration.queue import MAX_QUEUED
 from dykeshift.configuration.resources import Key, Route, Tenant
 from dykeshift.configuration.transactions import Phase, Put, Transaction, encode_entry
 from dykeshift.configuration.validation import Cause
@@ -222,7 +222,7 @@
 
 def test_the_queue_is_bounded() -> None:
     leader = Leader()
-    for _ in range(MOST_WAITING):
+    for _ in range(MAX_QUEUED):
         leader.submit(put(tenant_key("t1"), Tenant()))
     objection = leader.coordinator.submit(Transaction(1, "test", (put(tenant_key("t1"), Tenant()),)))
     assert objection is not None
--- a/tests/configuration/test_translate.py
+++ b/tests/configuration/test_translate.py
@@ -13,9 +13,9 @@
     acting_class,
     acting_route,
     acting_settings,
-    in_doubt,
+    action_without_lease,
     list_names,
-    servers_out,
+    banned_servers,
 )
 from dykeshift.configuration.meets import guarded
 from dykeshift.configuration.resources import (
@@ -139,13 +139,13 @@
     driver.through(put(service_key("cart"), SERVICE))
     driver.through(*puts_of_lists(pages, "cart"))
     held = driver.store.scoped(Scope(frozenset({"cart"})))
-    assert servers_out(held, "cart") == {"s1"}
+    assert banned_servers(held, "cart") == {"s1"}
     assert [list_names(held, w, "cart") for w in ("preferred", "closed", "wary")] == [
         {"s2"},
         {"send"},
         {"s3"},
     ]
-    assert in_doubt(held, "cart") == "refuse"
+    assert action_without_lease(held, "cart") == "refuse"
 
 
 # ---- the meet ----
@@ -254,12 +254,12 @@
     )
     driver.advance(lifted, Phase.JOINT)
     held = driver.store.scoped(Scope(frozenset({"cart"})))
-    assert servers_out(held, "cart") == {"s1"}
+    assert banned_servers(held, "cart") == {"s1"}
     assert list_names(held, "wary", "cart") == {"s1", "s2"}
-    assert in_doubt(held, "cart") == "refuse"
-    assert (servers_out(held, "mail"), in_doubt(held, "mail")) == (frozenset(), "refuse")
+    assert action_without_lease(held, "cart") == "refuse"
+    assert (banned_servers(held, "mail"), action_without_lease(held, "mail")) == (frozenset(), "refuse")
     driver.advance(lifted, Phase.COMMITTED)
-    assert servers_out(driver.store.scoped(Scope.everything()), "cart") == frozenset()
+    assert banned_servers(driver.store.scoped(Scope.everything()), "cart") == frozenset()
 
 
 @pytest.mark.parametrize(("one", "other"), product((SAFE, UNSAFE), repeat=2))
