--- a/tests/configuration/model.py
+++ b/tests/configuration/model.py
@@ -1,4 +1,4 @@
-"""A plain model of the store: whole copies, one for each version, and every question answered by a search."""
+"""A simple reference model of the store: a full copy for each version, and queries by linear search."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
     guarded: list[Key]
 
     def bodies(self) -> dict[Key, Body | None]:
-        return bodies_of(self.transaction)
+        return bodies_by_key(self.transaction)
 
 
-def bodies_of(transaction: Transaction) -> dict[Key, Body | None]:
+def bodies_by_key(transaction: Transaction) -> dict[Key, Body | None]:
     found: dict[Key, Body | None] = {p.key: decode_body(p.key.kind, p.body) for p in transaction.puts}
     return found | dict.fromkeys(transaction.deletes)
 
@@ -57,8 +57,10 @@
     under_way: dict[int, PendingTransaction] = field(default_factory=dict)
     ends: dict[int, Phase] = field(default_factory=dict)
     history: list[View] = field(default_factory=lambda: [{}])  # by version
-    removed: list[tuple[int, Key, bool]] = field(default_factory=list)  # version, key, whether established
-    ever: set[Key] = field(default_factory=set)
+    deletions: list[tuple[int, Key, bool]] = field(
+        default_factory=list
+    )  # version, key, whether it was established
+    ever_written: set[Key] = field(default_factory=set)
 
     def body(self, key: Key) -> Body | None:
         held = self.view.get(key)
@@ -71,7 +73,7 @@
     # ---- entries ----
 
     def apply(self, entry: Transaction | Advance, forgotten: bool) -> None:
-        """`forgotten`: whether the store has dropped tombstones, and so can't know what was there before."""
+        """`forgotten`: whether the store has evicted tombstones, and so cannot know which names were used."""
         self.version += 1
         if isinstance(entry, Transaction):
             self._begin(entry, forgotten)
@@ -82,10 +84,10 @@
     def _begin(self, transaction: Transaction, forgotten: bool) -> None:
         if transaction.ident in self.under_way or transaction.ident in self.ends:
             return
-        if not self.fits(transaction):
+        if not self.is_valid(transaction):
             self.ends[transaction.ident] = Phase.REFUSED
             return
-        bodies = bodies_of(transaction)
+        bodies = bodies_by_key(transaction)
         keys = [key for key in bodies if self._needs_joint(key, bodies, forgotten)]
         if keys or transaction.checked:
             self.under_way[transaction.ident] = PendingTransaction(transaction, Phase.PREPARED, keys)
@@ -103,7 +105,7 @@
 
         old = self.body(key)
         named = key.kind in (Kind.CLASS, Kind.ROUTE, Kind.SERVICE)
-        back = old is None and named and (forgotten or key in self.ever)
+        back = old is None and named and (forgotten or key in self.ever_written)
         return back or guarded(key, old, bodies[key], old_class, new_class)
 
     def _advance(self, entry: Advance) -> None:
@@ -130,34 +132,34 @@
         window = self.deletion_window
         for key in transaction.deletes:
             established = self.view[key].version <= self.version - window
-            self.removed.append((self.version, key, established))
-        for key, body in bodies_of(transaction).items():
+            self.deletions.append((self.version, key, established))
+        for key, body in bodies_by_key(transaction).items():
             self._write(key, encode_body(body) if body is not None else None)
         self.ends[transaction.ident] = Phase.COMMITTED
 
     def _write(self, key: Key, data: bytes | None) -> None:
-        self.ever.add(key)
+        self.ever_written.add(key)
         if data is None:
             self.view.pop(key, None)
         else:
             self.view[key] = Resource(key, self.version, data)
 
-    # ---- whether a transaction fits ----
+    # ---- validation ----
 
-    def fits(self, transaction: Transaction) -> bool:
-        bodies = bodies_of(transaction)
+    def is_valid(self, transaction: Transaction) -> bool:
+        bodies = bodies_by_key(transaction)
         return (
             bool(bodies)
             and len(self.under_way) < MAX_PENDING
             and not self._conflicts(bodies, transaction)
-            and all(self._version(k) == v for k, v in transaction.expected.items())
+            and all(self.version_of(k) == v for k, v in transaction.expected.items())
             and all(key in self.view for key in transaction.deletes)
             and not self._leaves_dangling_reference(bodies)
             and not self._deletes_too_much(transaction)
             and not self._bans_all_servers(bodies)
         )
 
-    def _version(self, key: Key) -> int:
+    def version_of(self, key: Key) -> int:
         return self.view[key].version if key in self.view else 0
 
     def _conflicts(self, bodies: dict[Key, Body | None], transaction: Transaction) -> bool:
@@ -190,7 +192,7 @@
             before = max(self.count_in_force(kind, view) for view in [*self.history[first:], self.view])
             if not own or before < MIN_HARM_CHECKED_COUNT:
                 continue
-            gone = sum(k.kind is kind and old and v > self.version - window for v, k, old in self.removed)
+            gone = sum(k.kind is kind and old and v > self.version - window for v, k, old in self.deletions)
             gone += sum(k in self.view and self.view[k].version <= self.version - window for k in keys)
             if (
                 gone >= before * HARMFUL_SHARE
--- a/tests/configuration/test_catch_up.py
+++ b/tests/configuration/test_catch_up.py
@@ -1,4 +1,4 @@
-"""Catching up: parts, staging, chunks, admission."""
+"""Catch-up of subscribers: parts, staging, chunked transfer, admission."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
 from tests.configuration.small_world import copy_of, filled_store, put_tenant, tenant_key, write
 
 SCOPE = Scope(frozenset("ab"))
-MOST = 1 << 20
+STAGING_LIMIT = 1 << 20
 
 
-def take_all(store: ConfigStore, state: SubscriberState, most_bytes: int = 200) -> int:
-    """Catch up with a store that stands still; how many parts that took."""
-    staging = Staging(state.scope, state.version, MOST)
+def catch_up_fully(store: ConfigStore, state: SubscriberState, most_bytes: int = 200) -> int:
+    """Catch up with a store that does not change; returns the number of parts."""
+    staging = Staging(state.scope, state.version, STAGING_LIMIT)
     for count in range(1, 1000):
         part = unpack_part(pack_part(build_part(store, state.scope, staging.position, most_bytes)))
         if staging.take(part):
-            show(state, staging, part)
+            apply_staged(state, staging, part)
             return count
-    raise AssertionError("there is no end")
+    raise AssertionError("the catch-up does not end")
 
 
-def show(state: SubscriberState, staging: Staging, part: Part) -> None:
+def apply_staged(state: SubscriberState, staging: Staging, part: Part) -> None:
     if staging.position.fresh:
         state.replace(1, part.target, part.digest, staging.resources.values())
     else:
@@ -55,7 +55,7 @@
     staging.reset(state.version)
 
 
-def same(state: SubscriberState, store: ConfigStore) -> bool:
+def matches(state: SubscriberState, store: ConfigStore) -> bool:
     return state.version == store.version and state.resources() == store.scoped(state.scope)
 
 
@@ -68,15 +68,15 @@
         put_tenant(store, number, services, rng.choice((1.0, 2.0, 3.0)))
 
 
-def test_from_nothing_in_parts_it_is_the_scope() -> None:
+def test_a_catch_up_from_nothing_gives_the_scope() -> None:
     store, state = filled_store(), SubscriberState(SCOPE)
-    assert take_all(store, state) > 2
-    assert same(state, store)
+    assert catch_up_fully(store, state) > 2
+    assert matches(state, store)
 
 
 def test_only_what_differs_is_sent() -> None:
     store, state = filled_store(), SubscriberState(SCOPE)
-    take_all(store, state)
+    catch_up_fully(store, state)
     put_tenant(store, 0, ("a",), 5.0)
     put_tenant(store, 2, ("c",), 5.0)
     put_tenant(store, 1, ("f",))
@@ -84,20 +84,20 @@
     part = build_part(store, SCOPE, shown_position(state.version))
     assert [r.key for r in part.resources] == [tenant_key(0), tenant_key(1), tenant_key(6)]
     assert part.after is None
-    take_all(store, state)
-    assert same(state, store)
+    catch_up_fully(store, state)
+    assert matches(state, store)
     assert state.get(tenant_key(1)) is None and state.get(tenant_key(6)) is None
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 10**6))
-def test_parts_lead_to_the_store_whatever_changes_between_them(seed: int) -> None:
-    """At each part the store is another replica's, has changed, or has forgotten its oldest tombstones."""
+def test_a_catch_up_converges_whatever_changes_between_parts(seed: int) -> None:
+    """Between parts the store may change, evict old tombstones, or be replaced by another replica's."""
     rng = Random(seed)
     store = filled_store()
     store.index.most_tombstones = rng.choice((3, 4096))
     state = SubscriberState(SCOPE)
-    staging = Staging(SCOPE, 0, MOST)
+    staging = Staging(SCOPE, 0, STAGING_LIMIT)
     for step in range(120):
         for _ in range(rng.choice((0, 0, 1, 3)) if step < 60 else 0):
             change_randomly(store, rng, rng.randrange(60))
@@ -106,25 +106,25 @@
         position = unpack_position(pack_position(staging.position))
         part = build_part(store, SCOPE, position, rng.choice((150, 400, 4000)))
         if staging.take(unpack_part(pack_part(part))):
-            show(state, staging, part)
-            assert same(state, store)
-    assert same(state, store)
+            apply_staged(state, staging, part)
+            assert matches(state, store)
+    assert matches(state, store)
 
 
 def test_who_is_too_far_behind_begins_from_nothing() -> None:
     store, state = filled_store(), SubscriberState(SCOPE)
     store.index.most_tombstones = 2
-    take_all(store, state)
+    catch_up_fully(store, state)
     for number in range(12):
         write(store, deletes=(tenant_key(number),))
     assert store.snapshot_needed(state.version)
     part = build_part(store, SCOPE, shown_position(state.version))
     assert part.start.fresh and part.start.version == 0
-    take_all(store, state)
-    assert same(state, store)
+    catch_up_fully(store, state)
+    assert matches(state, store)
 
 
-def test_no_tombstones_are_sent_that_nobody_needs() -> None:
+def test_a_catch_up_from_nothing_sends_no_tombstones() -> None:
     store = filled_store()
     for number in range(12):
         write(store, deletes=(tenant_key(number),))
@@ -132,9 +132,9 @@
     assert part.resources and all(resource.live for resource in part.resources)
 
 
-def test_what_does_not_continue_is_refused_and_changes_nothing() -> None:
+def test_an_invalid_part_is_rejected_and_changes_nothing() -> None:
     store = filled_store()
-    staging = Staging(SCOPE, 0, MOST)
+    staging = Staging(SCOPE, 0, STAGING_LIMIT)
     first = build_part(store, SCOPE, staging.position, 200)
     assert first.after is not None
     staging.take(first)
@@ -154,16 +154,16 @@
         assert (staging.position, staging.resources) == before
 
 
-def test_more_than_the_memory_is_refused() -> None:
+def test_the_staging_limit_is_enforced() -> None:
     staging = Staging(SCOPE, 0, 1000)
     with pytest.raises(PartError):
         staging.take(build_part(filled_store(), SCOPE, NOTHING, 1 << 16))
     assert not staging.resources
 
 
-def test_a_wrong_digest_leaves_what_was_shown() -> None:
+def test_a_wrong_digest_keeps_the_shown_state() -> None:
     store, state = filled_store(), SubscriberState(SCOPE)
-    take_all(store, state)
+    catch_up_fully(store, state)
     before = (state.version, state.resources(), state.digest())
     changed = Resource(tenant_key(0), store.version + 1, encode_body(Tenant(("a",), 9.0)))
     gone = Resource(tenant_key(1), store.version + 2, None, former_services=("b",))
@@ -177,7 +177,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_no_part_and_the_position_of_nobody(data: bytes) -> None:
+def test_arbitrary_bytes_are_no_part_but_decode_to_a_position(data: bytes) -> None:
     with pytest.raises(PartError):
         unpack_part(data)
     assert isinstance(unpack_position(data), Position)
@@ -191,7 +191,7 @@
 
 
 @given(st.binary(max_size=100))
-def test_any_bytes_are_a_scope_or_an_error(data: bytes) -> None:
+def test_arbitrary_bytes_are_a_scope_or_an_error(data: bytes) -> None:
     try:
         scope = unpack_scope(data)
     except ScopeError:
@@ -209,21 +209,21 @@
     data = rng.randbytes(rng.choice((1, 228, 229, 5_000, 20_000)))
     loss = rng.choice((0.0, 0.1, 0.5))
     sender, receiver = Sender(1, data), Receiver()
-    now, way = 0, list[int]()
+    now, in_flight = 0, list[int]()
     for _ in range(20_000):
         now += 10_000_000
         number = sender.due(now)
         if number is not None:
             sender.on_sent(now, number)
-            way += [number] * (1 + (rng.random() < 0.1))
-        rng.shuffle(way)
-        if way and rng.random() >= loss:
-            arrived = way.pop()
+            in_flight += [number] * (1 + (rng.random() < 0.1))
+        rng.shuffle(in_flight)
+        if in_flight and rng.random() >= loss:
+            arrived = in_flight.pop()
             receiver.on_chunk(1, arrived, len(sender.chunks), sender.chunks[arrived])
             if rng.random() >= loss:
                 sender.on_ack(receiver.following, receiver.ahead_bits)
-        elif way:
-            way.pop()
+        elif in_flight:
+            in_flight.pop()
         assert len(sender.sent) <= WINDOW
         assert len(receiver.ahead) <= WINDOW + 1
         if receiver.whole is not None:
@@ -235,7 +235,7 @@
     assert sender.complete
 
 
-def test_chunks_of_an_earlier_transfer_count_for_nothing() -> None:
+def test_chunks_that_do_not_fit_the_current_transfer_are_ignored() -> None:
     receiver = Receiver()
     assert receiver.on_chunk(2, 0, 2, b"new")
     assert not receiver.on_chunk(1, 1, 2, b"old")
@@ -244,7 +244,7 @@
     assert receiver.on_chunk(2, 1, 2, b"end") and receiver.whole == b"newend"
 
 
-def test_a_repetition_waits_longer_each_time() -> None:
+def test_retransmissions_back_off() -> None:
     sender = Sender(1, b"one chunk")
     times, now = list[int](), 0
     while len(times) < 6:
@@ -261,7 +261,7 @@
 
 @settings(max_examples=50)
 @given(st.lists(st.tuples(st.integers(0, 10**9), st.integers(1, 500)), max_size=200))
-def test_no_window_has_more_than_rate_and_burst(asked: list[tuple[int, int]]) -> None:
+def test_a_token_bucket_never_exceeds_rate_and_burst(asked: list[tuple[int, int]]) -> None:
     bucket = TokenBucket(rate=1000, burst=600)
     now, spent = 0, list[tuple[int, int]]()
     for wait, amount in asked:
@@ -284,9 +284,9 @@
     queue.release(SECOND, "first")
     assert queue.request(SECOND, "third")
     assert queue.request(SECOND, "second") == 0
-    assert queue.request(SECOND, "second") == 0  # asked again: it has it
+    assert queue.request(SECOND, "second") == 0  # asked again: it holds the slot
     queue.release(2 * SECOND, "second")
-    assert queue.request(60 * SECOND, "fifth") == 0  # the third has not come back
+    assert queue.request(60 * SECOND, "fifth") == 0  # "third" has not come back in time
 
 
 def test_the_longer_the_queue_the_longer_the_wait() -> None:
@@ -298,7 +298,7 @@
     assert waits[-1] <= AdmissionQueue.MAX_WAIT
 
 
-def test_the_module_names_its_part_size() -> None:
+def test_a_part_stays_near_the_part_size() -> None:
     store = filled_store(tenants=200)
     part = build_part(store, Scope.everything(), NOTHING)
     assert len(pack_part(part)) < catch_up.PART_BYTES + 600
--- a/tests/configuration/test_coordinator.py
+++ b/tests/configuration/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Transactions led through their phases: not before nobody acts on the old body alone, and in order."""
+"""The coordinator: no commit while a balancer may act on an old body alone, and proposals in order."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         return self.ident
 
     def run(self) -> None:
-        """All that may be proposed now."""
+        """Commit everything that can be proposed now."""
         while (entry := self.coordinator.next(self.now)) is not None:
             self.store.apply(self.store.version + 1, encode_entry(entry))
         self.coordinator.look(self.now)
@@ -70,7 +70,9 @@
     leader.fence(3, version=joint - 1)
     leader.fence(3, lineage=LINEAGE + 1)
     leader.fence(4)
-    assert leader.phase(ident) is Phase.JOINT, "an earlier version, another history, nobody of the tier"
+    assert (
+        leader.phase(ident) is Phase.JOINT
+    ), "an earlier version, another lineage, a replica outside the tier"
     leader.fence(3)
     assert leader.phase(ident) is Phase.COMMITTED
 
@@ -88,7 +90,7 @@
     assert leader.phase(ident) is Phase.COMMITTED
 
 
-def test_who_leads_later_waits_anew_and_keeps_no_word_of_another_history() -> None:
+def test_a_new_leader_waits_a_full_lease_and_drops_fences_of_another_lineage() -> None:
     leader = Leader()
     ident = leader.submit(put(class_key("read"), UNSAFE))
     leader.run()
@@ -106,7 +108,7 @@
     assert leader.phase(ident) is Phase.JOINT
 
 
-def test_free_changes_wait_for_nobody() -> None:
+def test_free_changes_are_committed_at_once() -> None:
     leader = Leader()
     guarded = leader.submit(put(class_key("read"), UNSAFE))
     free = [leader.submit(put(tenant_key(f"t{n}"), Tenant((), 2.0))) for n in range(5)]
@@ -146,16 +148,16 @@
     assert leader.store.body(route_key("/new")) == Route("mail", "send")
 
 
-def test_a_refused_transaction_leaves_the_queue_with_its_objection() -> None:
+def test_a_refused_transaction_is_removed_from_the_queue_with_its_objection() -> None:
     leader = Leader()
     ident = leader.submit(deletes=(service_key("cart"),))
     leader.run()
     assert leader.coordinator.queue.refused[ident].cause is Cause.REFERENCE
     assert leader.coordinator.queue.waiting == {}
-    assert leader.phase(ident) is None, "nobody was asked to commit it"
+    assert leader.phase(ident) is None, "it was never proposed"
 
 
-def test_bans_are_held_against_the_servers_that_run() -> None:
+def test_bans_are_checked_against_the_running_servers() -> None:
     leader = Leader()
     ident = leader.submit(ban("cart", "s1"))
     running = {"cart": frozenset({"s1"})}
@@ -163,7 +165,7 @@
     assert leader.coordinator.queue.refused[ident].cause is Cause.HARM
 
 
-def test_a_checked_transaction_waits_for_its_approval_and_not_for_ever() -> None:
+def test_a_checked_transaction_waits_for_approval_up_to_the_check_limit() -> None:
     leader = Leader()
     approved = leader.submit(put(tenant_key("t1"), Tenant((), 2.0)), checked=True)
     forgotten = leader.submit(put(tenant_key("t2"), Tenant((), 2.0)), checked=True)
@@ -193,7 +195,7 @@
     assert leader.phase(ident) is Phase.COMMITTED
 
 
-def test_an_abort_goes_straight_back() -> None:
+def test_an_abort_restores_the_old_body_at_once() -> None:
     leader = Leader()
     ident = leader.submit(put(class_key("read"), UNSAFE))
     leader.run()
@@ -203,7 +205,7 @@
     assert leader.store.body(class_key("read")) == SAFE
 
 
-def test_the_settled_version_is_one_that_nobody_acts_before() -> None:
+def test_no_balancer_acts_on_a_version_before_the_settled_one() -> None:
     leader = Leader()
     leader.submit(put(tenant_key("t1"), Tenant((), 2.0)))
     leader.run()
@@ -229,8 +231,8 @@
     assert objection.cause is Cause.LIMIT
 
 
-def test_the_wait_covers_a_lease_by_clocks_that_drift_apart() -> None:
-    """The leader's clock fast, the subscriber's slow, each by `drift`."""
+def test_the_lease_wait_covers_clock_drift() -> None:
+    """The leader's clock runs fast and the subscriber's slow, each by `drift`."""
     fast, slow = 1 + OPTIONS.drift, 1 - OPTIONS.drift
     assert OPTIONS.lease_wait / fast >= OPTIONS.lease / slow
     assert OPTIONS.lease_wait <= 6 * SECOND
--- a/tests/configuration/test_memory.py
+++ b/tests/configuration/test_memory.py
@@ -1,4 +1,4 @@
-"""What a store keeps does not grow with the changes that it has seen."""
+"""The memory of a store does not grow with the number of changes applied to it."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 CLASSES = [f"c{n}" for n in range(5)]
 
 
-def one_change(driver: Driver, random: Random) -> None:
-    """A change of some sort, through to its end; many are refused."""
-    service, sort = random.choice(SERVICES), random.randrange(8)
-    if sort < 3:
+def apply_random_change(driver: Driver, random: Random) -> None:
+    """A random change, taken through all its phases; many are refused."""
+    service, choice = random.choice(SERVICES), random.randrange(8)
+    if choice < 3:
         key = tenant_key(f"t{random.randrange(200)}")
         ident = driver.begin(put(key, Tenant((service,), random.random() + 0.1)))
-    elif sort == 3:
+    elif choice == 3:
         ident = driver.begin(deletes=(tenant_key(f"t{random.randrange(200)}"),))
-    elif sort == 4:
+    elif choice == 4:
         route = Route(service, random.choice(CLASSES))
         ident = driver.begin(put(route_key(f"r{random.randrange(20)}"), route))
-    elif sort == 5:
+    elif choice == 5:
         ident = driver.begin(put(class_key(random.choice(CLASSES)), random.choice([SAFE, UNSAFE])))
-    elif sort == 6:
+    elif choice == 6:
         ident = driver.begin(ban(service, f"b{random.randrange(3)}"))
     else:
         bans = sorted(r.key for r in driver.store.index.live() if r.key.kind is Kind.BAN)
@@ -50,29 +50,29 @@
             driver.advance(ident, phase)
 
 
-def size_of(thing: Any, seen: set[int]) -> int:
-    """Bytes of the containers, tables and resources that a thing holds."""
-    if id(thing) in seen or thing is None:
+def size_of(value: Any, seen: set[int]) -> int:
+    """Bytes of an object and of the containers, tables and resources that it refers to."""
+    if id(value) in seen or value is None:
         return 0
-    seen.add(id(thing))
-    total = sys.getsizeof(thing)
-    if isinstance(thing, dict):
-        total += sum(size_of(k, seen) + size_of(v, seen) for k, v in thing.items())
-    elif isinstance(thing, list | tuple | set | frozenset):
-        total += sum(size_of(item, seen) for item in thing)
-    elif hasattr(thing, "__struct_fields__"):
-        total += sum(size_of(getattr(thing, name), seen) for name in thing.__struct_fields__)
-    elif hasattr(thing, "__slots__") and not isinstance(thing, str | bytes | int | Kind):
-        total += sum(size_of(getattr(thing, name), seen) for name in thing.__slots__)
-    elif hasattr(thing, "__dict__") and not isinstance(thing, type | Kind | Phase):
-        total += size_of(vars(thing), seen)
-    elif hasattr(thing, "__iter__") and not isinstance(thing, str | bytes):
-        total += sum(size_of(item, seen) for item in thing)
+    seen.add(id(value))
+    total = sys.getsizeof(value)
+    if isinstance(value, dict):
+        total += sum(size_of(k, seen) + size_of(v, seen) for k, v in value.items())
+    elif isinstance(value, list | tuple | set | frozenset):
+        total += sum(size_of(item, seen) for item in value)
+    elif hasattr(value, "__struct_fields__"):
+        total += sum(size_of(getattr(value, name), seen) for name in value.__struct_fields__)
+    elif hasattr(value, "__slots__") and not isinstance(value, str | bytes | int | Kind):
+        total += sum(size_of(getattr(value, name), seen) for name in value.__slots__)
+    elif hasattr(value, "__dict__") and not isinstance(value, type | Kind | Phase):
+        total += size_of(vars(value), seen)
+    elif hasattr(value, "__iter__") and not isinstance(value, str | bytes):
+        total += sum(size_of(item, seen) for item in value)
     return total
 
 
-def entries(store: ConfigStore) -> int:
-    """Everything that the store holds singly."""
+def count_entries(store: ConfigStore) -> int:
+    """The number of all entries in the containers of a store."""
     tables = sum(len(table.entries) for table in store.index.tables.values())
     named = sum(len(names) for names in store.referrers.named.values())
     kept = (
@@ -92,10 +92,10 @@
     driver.through(*(put(class_key(name), SAFE) for name in CLASSES))
     sizes = list[tuple[int, int, int]]()
     for change in range(1, CHANGES + 1):
-        one_change(driver, random)
+        apply_random_change(driver, random)
         if change % (CHANGES // 5) == 0:
             store = driver.store
-            sizes.append((entries(store), size_of(store, set()), len(store.snapshot())))
+            sizes.append((count_entries(store), size_of(store, set()), len(store.snapshot())))
     ends = [outcome.phase for outcome in driver.store.outcomes.values()]
     assert len(ends) == MOST_OUTCOMES
     assert {Phase.COMMITTED, Phase.REFUSED, Phase.ABORTED} <= set(ends)
@@ -104,7 +104,7 @@
     assert len(driver.store.index.tombstones) == TOMBSTONES
 
 
-def test_a_service_that_is_gone_leaves_no_table_behind() -> None:
+def test_a_deleted_service_leaves_no_table_behind() -> None:
     driver = Driver(ConfigStore(most_tombstones=16))
     for n in range(100):
         key: Key = service_key(f"s{n}")
--- a/tests/configuration/test_stateful.py
+++ b/tests/configuration/test_stateful.py
@@ -1,4 +1,8 @@
-"""Hypothesis, and drawn days, drive a store beside the plain model."""
+"""Compares the store with the model, driven by Hypothesis and by seeded random runs.
+
+Hypothesis orders the rules by name and seeds its derandomized draws with a hash of the machine's source, so
+changes in StoreMachine, also of names, change the runs.
+"""
 
 from __future__ import annotations
 
@@ -126,5 +130,5 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_drawn_day_is_as_the_model_says(seed: int) -> None:
+def test_a_random_run_matches_the_model(seed: int) -> None:
     assert play(seed) == []
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -1,4 +1,4 @@
-"""The store of resources: phases, scopes, digests, tombstones, snapshots."""
+"""The configuration store: phases, scopes, digests, tombstones, snapshots."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 CART, MAIL = Scope(frozenset({"cart"})), Scope(frozenset({"mail"}))
 
 
-def names(resources: tuple[Resource, ...]) -> list[str]:
+def names_of(resources: tuple[Resource, ...]) -> list[str]:
     return [resource.key.name for resource in resources]
 
 
@@ -47,7 +47,7 @@
     return found.version
 
 
-def test_a_free_change_is_in_force_with_its_own_entry() -> None:
+def test_a_free_change_takes_effect_with_its_first_entry() -> None:
     driver = small_store()
     ident = driver.begin(put(tenant_key("t1"), Tenant(("cart",), 2.0)))
     assert driver.phase(ident) is Phase.COMMITTED
@@ -55,7 +55,7 @@
     assert version_of(driver, tenant_key("t1")) == driver.store.version
 
 
-def test_a_transaction_is_refused_whole_where_one_expected_version_differs() -> None:
+def test_a_transaction_is_refused_as_a_whole_if_one_expected_version_differs() -> None:
     driver = small_store()
     right = version_of(driver, tenant_key("t1"))
     before = driver.store.digest(Scope.everything())
@@ -91,11 +91,11 @@
     assert driver.store.get(class_key("read")) == Resource(class_key("read"), driver.store.version, new)
 
 
-def test_an_aborted_change_leaves_the_old_body_alone() -> None:
+def test_an_aborted_change_keeps_the_old_body_only() -> None:
     driver = small_store()
     ident = driver.begin(put(class_key("read"), UNSAFE), put(tenant_key("t1"), Tenant((), 9.0)))
     driver.advance(ident, Phase.JOINT)
-    assert driver.store.body(tenant_key("t1")) == Tenant(("cart",)), "what is free comes with the commit"
+    assert driver.store.body(tenant_key("t1")) == Tenant(("cart",)), "free changes take effect at the commit"
     driver.advance(ident, Phase.ABORTED)
     held = driver.store.get(class_key("read"))
     assert held is not None
@@ -104,7 +104,7 @@
     assert not driver.store.pending
 
 
-def test_transactions_of_different_keys_are_under_way_side_by_side() -> None:
+def test_transactions_on_different_keys_can_be_pending_at_once() -> None:
     driver = small_store()
     first = driver.begin(put(class_key("read"), UNSAFE))
     second = driver.begin(put(service_key("mail"), Service(balancers=9, servers=3)))
@@ -116,13 +116,13 @@
     assert [driver.phase(n) for n in (first, second, third)] == [Phase.ABORTED, Phase.COMMITTED, Phase.JOINT]
 
 
-def test_what_touches_a_transaction_under_way_waits_for_it() -> None:
+def test_a_transaction_that_conflicts_with_a_pending_one_is_refused_until_it_ends() -> None:
     driver = small_store()
     first = driver.begin(put(class_key("read"), UNSAFE))
     same = driver.begin(put(class_key("read"), SAFE))
-    names_it = driver.begin(put(route_key("/new"), Route("cart", "read")))
-    assert {driver.phase(same), driver.phase(names_it)} == {Phase.REFUSED}
-    assert driver.reason(names_it).startswith("conflict")
+    referring = driver.begin(put(route_key("/new"), Route("cart", "read")))
+    assert {driver.phase(same), driver.phase(referring)} == {Phase.REFUSED}
+    assert driver.reason(referring).startswith("conflict")
     driver.advance(first, Phase.JOINT)
     driver.advance(first, Phase.COMMITTED)
     assert driver.phase(driver.begin(put(route_key("/new"), Route("cart", "read")))) is Phase.COMMITTED
@@ -136,16 +136,16 @@
     assert driver.reason(changed).startswith("conflict")
 
 
-def test_a_name_that_meant_something_before_comes_back_by_a_joint_phase() -> None:
+def test_reusing_a_name_needs_a_joint_phase() -> None:
     driver = small_store()
     new = driver.begin(put(route_key("/x"), Route("cart", "send")))
-    assert driver.phase(new) is Phase.COMMITTED, "the store knows that it was never there"
+    assert driver.phase(new) is Phase.COMMITTED, "the store knows that the name was never used"
     driver.through(deletes=(route_key("/x"),))
     again = driver.begin(put(route_key("/x"), Route("mail", "read")))
     assert driver.phase(again) is Phase.PREPARED
 
 
-def test_entries_that_are_nobodys_change_nothing_but_the_version() -> None:
+def test_unknown_entries_change_only_the_version() -> None:
     driver = small_store()
     before = driver.store.snapshot()
     version = driver.store.version
@@ -167,7 +167,7 @@
 # ---- scopes, changes, digests ----
 
 
-def test_a_scope_holds_its_services_and_what_concerns_every_one() -> None:
+def test_a_scope_contains_its_services_and_what_applies_to_all_services() -> None:
     driver = small_store()
     held = driver.store.scoped(MAIL)
     assert {r.key for r in held} == {
@@ -181,39 +181,39 @@
     assert all(MAIL.matches(resource) for resource in held)
 
 
-def test_changes_come_in_the_order_of_versions_and_only_the_latest_of_each_key() -> None:
+def test_changes_are_in_version_order_with_only_the_latest_of_each_key() -> None:
     driver = small_store()
     since = driver.store.version
     driver.through(put(tenant_key("t2"), Tenant(("mail",), 2.0)))
     driver.through(put(tenant_key("t4"), Tenant(("mail",), 2.0)))
     driver.through(put(tenant_key("t2"), Tenant(("mail",), 3.0)))
     changes = driver.store.changes_since(since, MAIL)
-    assert names(changes) == ["t4", "t2"]
+    assert names_of(changes) == ["t4", "t2"]
     assert [r.version for r in changes] == [since + 2, since + 3]
 
 
-def test_a_deletion_comes_as_a_tombstone_to_whom_it_concerns() -> None:
+def test_a_deletion_is_a_tombstone_in_the_scopes_that_it_concerns() -> None:
     driver = small_store()
     since = driver.store.version
     driver.through(deletes=(tenant_key("t1"),))
     (found,) = driver.store.changes_since(since, CART)
     assert (found.key, found.body, found.live) == (tenant_key("t1"), None, False)
     assert driver.store.changes_since(since, MAIL) == ()
-    assert names(driver.store.changes_since(since, Scope.everything())) == ["t1"]
+    assert names_of(driver.store.changes_since(since, Scope.everything())) == ["t1"]
 
 
-def test_what_moves_to_another_service_leaves_a_tombstone_in_the_scope_it_left() -> None:
+def test_a_resource_moved_to_another_service_leaves_a_tombstone_in_its_old_scope() -> None:
     driver = small_store()
     since = driver.store.version
     driver.through(put(route_key("/cart"), Route("mail", "read")))
     (left,) = driver.store.changes_since(since, CART)
-    (came,) = driver.store.changes_since(since, MAIL)
-    assert (left.live, came.live) == (False, True)
+    (arrived,) = driver.store.changes_since(since, MAIL)
+    assert (left.live, arrived.live) == (False, True)
     both = driver.store.changes_since(since, Scope(frozenset({"cart", "mail"})))
     assert [(r.key, r.live) for r in both] == [(route_key("/cart"), True)]
 
 
-def test_a_move_in_its_joint_phase_is_seen_by_both_services() -> None:
+def test_a_move_in_its_joint_phase_is_in_the_scope_of_both_services() -> None:
     driver = small_store()
     since = driver.store.version
     ident = driver.begin(put(route_key("/mail/send"), Route("cart", "send")))
@@ -226,7 +226,7 @@
     assert not left.live
 
 
-def test_the_digest_tells_what_is_held_and_not_how_it_came() -> None:
+def test_the_digest_depends_on_the_contents_and_not_on_the_history() -> None:
     one, other = small_store(), small_store()
     digests = one.store.digest(CART), one.store.digest(MAIL)
     assert digests == (other.store.digest(CART), other.store.digest(MAIL))
@@ -235,7 +235,7 @@
     assert one.store.digest(MAIL) == digests[1]
 
 
-def test_the_digest_tells_a_joint_phase() -> None:
+def test_the_digest_covers_the_joint_phase() -> None:
     driver = small_store()
     before = driver.store.digest(CART)
     ident = driver.begin(put(class_key("read"), UNSAFE))
@@ -248,7 +248,7 @@
     assert held.joint is None
 
 
-def test_old_tombstones_go_and_who_is_older_is_told_so() -> None:
+def test_old_tombstones_are_evicted_and_older_readers_need_a_snapshot() -> None:
     driver = Driver(ConfigStore(most_tombstones=8))
     driver.through(put(service_key("cart"), SERVICE))
     since = driver.store.version
@@ -267,7 +267,7 @@
 # ---- snapshots ----
 
 
-def test_a_restored_store_is_the_same_byte_by_byte_and_goes_on_alike() -> None:
+def test_a_restored_store_is_byte_identical_and_stays_identical() -> None:
     driver = small_store()
     driver.through(deletes=(tenant_key("t3"),))
     driver.through(put(route_key("/cart"), Route("mail", "read")))
@@ -289,7 +289,7 @@
         assert copy.store.changes_since(3, scope) == driver.store.changes_since(3, scope)
 
 
-def test_a_plain_snapshot_is_taken_too() -> None:
+def test_an_uncompressed_snapshot_is_accepted() -> None:
     driver = small_store()
     state = decode_state(driver.store.snapshot())
     copy = ConfigStore()
@@ -297,7 +297,7 @@
     assert copy.snapshot() == driver.store.snapshot() == encode_state(state)
 
 
-def test_a_snapshot_that_is_none_leaves_an_empty_store() -> None:
+def test_a_malformed_snapshot_leaves_an_empty_store() -> None:
     driver = small_store()
     driver.store.restore(7, b"\x93nonsense")
     assert (driver.store.version, driver.store.scoped(Scope.everything())) == (7, ())
@@ -307,28 +307,28 @@
 # ---- harm ----
 
 
-def test_bans_never_put_out_all_servers_of_a_service() -> None:
+def test_bans_never_cover_all_servers_of_a_service() -> None:
     driver = small_store()
     driver.begin(ban("cart", "s1"))
     driver.through(ban("cart", "s2"))
     last = driver.begin(ban("cart", "s3"))
-    assert driver.reason(last).startswith("harm"), "also with a ban that is under way only"
+    assert driver.reason(last).startswith("harm"), "pending bans count too"
     assert driver.store.get(ban_key("cart", "s3")) is None
 
 
 def test_the_last_good_stays_where_a_change_would_do_harm() -> None:
     driver = small_store()
     before = driver.store.digest(Scope.everything())
-    half = driver.begin(deletes=tuple(tenant_key(f"t{n}") for n in range(5)))
+    half_of_tenants = driver.begin(deletes=tuple(tenant_key(f"t{n}") for n in range(5)))
     named_class = driver.begin(deletes=(class_key("read"),))
     named_service = driver.begin(deletes=(service_key("mail"),))
     dangling = driver.begin(put(route_key("/x"), Route("nowhere", "read")))
-    reasons = [driver.reason(n) for n in (half, named_class, named_service, dangling)]
+    reasons = [driver.reason(n) for n in (half_of_tenants, named_class, named_service, dangling)]
     assert [reason.split(":")[0] for reason in reasons] == ["harm", "reference", "reference", "reference"]
     assert driver.store.digest(Scope.everything()) == before
 
 
-def test_half_of_the_tenants_one_by_one_is_harm_too() -> None:
+def test_deleting_half_of_the_tenants_one_by_one_is_refused() -> None:
     driver = small_store()
-    ends = [driver.phase(driver.begin(deletes=(tenant_key(f"t{n}"),))) for n in range(10)]
-    assert ends.count(Phase.COMMITTED) == 4
+    phases = [driver.phase(driver.begin(deletes=(tenant_key(f"t{n}"),))) for n in range(10)]
+    assert phases.count(Phase.COMMITTED) == 4
--- a/tests/configuration/test_translate.py
+++ b/tests/configuration/test_translate.py
@@ -1,4 +1,8 @@
-"""From a settings file to resources and back, and what a balancer acts on by them."""
+"""Conversion between settings files and resources, and the configuration that a balancer acts on.
+
+The tests with `derandomize` draw their examples by a hash of their own source: a changed name in one of them
+changes the examples.
+"""
 
 from __future__ import annotations
 
@@ -99,7 +103,7 @@
 
 
 def typed(puts: tuple[Put, ...]) -> tuple[Service, list[tuple[str, ClassTerms]]]:
-    """The service's terms and the classes of a settings file's resources."""
+    """The terms of the service and the classes among the resources of a settings file."""
     bodies = {one.key: decode_body(one.key.kind, one.body) for one in puts}
     (service,) = (body for body in bodies.values() if isinstance(body, Service))
     return service, [(key.name, body) for key, body in bodies.items() if isinstance(body, ClassTerms)]
@@ -126,7 +130,7 @@
     assert acting_settings(held, "mail", own) is None
 
 
-def test_what_is_no_settings_file_makes_no_resources() -> None:
+def test_an_invalid_settings_file_gives_no_resources() -> None:
     files: list[dict[str, Any]] = [{}, {"services": []}, {"bounds": 3, "obligations": {}}]
     for wrong in files:
         with pytest.raises(SettingsError):
@@ -236,7 +240,7 @@
         assert repeats(after.request_class) == repeats(acting.request_class)
 
 
-def test_a_new_name_is_not_there_until_it_is_in_force() -> None:
+def test_a_new_resource_does_not_exist_until_it_is_in_force() -> None:
     assert acting_class(joint(class_key("c"), None, SAFE)) is None
     assert acting_route(joint(route_key("r"), None, Route("s", "c")), lambda key: None) is None
     assert acting_settings([joint(service_key("s"), None, SERVICE)], "s") is None
@@ -246,7 +250,7 @@
     assert acting.classes == ()
 
 
-def test_bans_and_lists_in_their_joint_phase_hold_as_they_come_and_as_they_go() -> None:
+def test_bans_and_lists_apply_in_a_joint_phase_whether_added_or_lifted() -> None:
     driver = small_store()
     driver.through(ban("cart", "s1"), word("wary", "s1", service="cart"))
     lifted = driver.begin(
--- a/tests/configuration/words.py
+++ b/tests/configuration/words.py
@@ -1,4 +1,4 @@
-"""Short ways to say resources and transactions in tests."""
+"""Helpers of the tests to build resources and transactions."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class Driver:
-    """A store and the version of the next entry."""
+    """Applies transactions and phase changes to a store, one entry at a time."""
 
     def __init__(self, store: ConfigStore | None = None) -> None:
         self.store = store if store is not None else ConfigStore()
@@ -74,7 +74,7 @@
         expected: dict[Key, int] | None = None,
         checked: bool = False,
     ) -> int:
-        """A transaction's ident."""
+        """Begin a transaction; returns its ident."""
         self.ident += 1
         transaction = Transaction(self.ident, "test", puts, deletes, expected or {}, checked)
         self.store.apply(self.store.version + 1, encode_entry(transaction))
@@ -95,7 +95,7 @@
         return outcome.reason if outcome is not None else ""
 
     def through(self, *puts: Put, deletes: tuple[Key, ...] = ()) -> int:
-        """A transaction through all its phases."""
+        """Take a transaction through all its phases to the commit; returns its ident."""
         ident = self.begin(*puts, deletes=deletes)
         for phase in (Phase.JOINT, Phase.COMMITTED):
             if ident in self.store.pending:
@@ -105,7 +105,7 @@
 
 
 def small_store() -> Driver:
-    """Two services, two classes, four routes and ten tenants."""
+    """A driver with a store of two services, two classes, four routes and ten tenants."""
     driver = Driver()
     driver.through(put(service_key("cart"), SERVICE), put(service_key("mail"), SERVICE))
     driver.through(put(class_key("read"), SAFE), put(class_key("send"), UNSAFE))
