--- a/dykeshift/configuration/coordinator.py
+++ b/dykeshift/configuration/coordinator.py
@@ -13,8 +13,8 @@
 expired. If a replica is silent, (b) applies. A fence is a fact about the past and stays true whoever leads.
 The coordinator keeps only such facts and the time for (b), all in memory: a new leader merely waits longer.
 
-Every proposal names the store version that it builds on, so two processes that both believe to be the leader
-do no harm.
+Every proposal names the store version that it builds on, so no harm is done if two processes both
+believe that they lead.
 
 Invariants:
  1. COMMITTED is proposed for a guarded transaction only when no balancer acts on any of its old bodies alone.
@@ -79,13 +79,9 @@
     fences: dict[int, int] = field(default_factory=dict)  # fenced version by replica
     approved: set[int] = field(default_factory=set)
     aborts: dict[int, str] = field(default_factory=dict)
-    seen: dict[int, tuple[int, int]] = field(
-        default_factory=dict
-    )  # by ident: the version that began its phase, and when it was first seen
+    seen: dict[int, tuple[int, int]] = field(default_factory=dict)  # by ident: phase's version, first seen at
     settled: int = 0  # no balancer acts on an older version
-    settling: list[tuple[int, int]] = field(
-        default_factory=list
-    )  # later versions, and when each was first seen
+    settling: list[tuple[int, int]] = field(default_factory=list)  # later versions, each first seen at
 
     def enter(self, lineage: int) -> None:
         """Switch to another lineage (history) of the store; facts about the previous one are dropped."""
--- a/dykeshift/configuration/index.py
+++ b/dykeshift/configuration/index.py
@@ -66,9 +66,7 @@
         self.compacted = 0  # changes up to this version may be forgotten
         self.count = 0  # live resources
         self.tables: dict[TableName, Table] = {ALL_RESOURCES: Table()}
-        self.tombstones: OrderedDict[tuple[TableName, Key], int] = (
-            OrderedDict()
-        )  # their versions, oldest first
+        self.tombstones: OrderedDict[tuple[TableName, Key], int] = OrderedDict()  # versions, oldest first
 
     def get(self, key: Key) -> Resource | None:
         """The live resource of a key."""
--- a/dykeshift/configuration/store.py
+++ b/dykeshift/configuration/store.py
@@ -121,9 +121,7 @@
         self.deletions: deque[Deletions] = deque()
         self.counts: Counter[Kind] = Counter()
         self._writers: dict[Key, int] = {}  # keys written by pending transactions
-        self._readers: dict[
-            Key, dict[int, None]
-        ] = {}  # keys referenced by pending transactions; the dict is an ordered set
+        self._readers: dict[Key, dict[int, None]] = {}  # keys that they reference; idents in order
 
     # ---- the state machine ----
 
--- a/dykeshift/configuration/transfer.py
+++ b/dykeshift/configuration/transfer.py
@@ -69,9 +69,7 @@
         if following > self.next_unsent:
             return
         self.following = max(self.following, following)
-        last = (
-            len(self.chunks) - 1
-        )  # retransmitted until the receiver confirms that it has taken the whole transfer
+        last = len(self.chunks) - 1  # retransmitted until the receiver has taken the whole transfer
         for number in list(self.sent):
             bit = number - following - 1
             arrived = number != last and 0 <= bit < WINDOW and ahead >> bit & 1
--- a/tests/configuration/model.py
+++ b/tests/configuration/model.py
@@ -57,9 +57,7 @@
     under_way: dict[int, PendingTransaction] = field(default_factory=dict)
     ends: dict[int, Phase] = field(default_factory=dict)
     history: list[View] = field(default_factory=lambda: [{}])  # by version
-    deletions: list[tuple[int, Key, bool]] = field(
-        default_factory=list
-    )  # version, key, whether it was established
+    deletions: list[tuple[int, Key, bool]] = field(default_factory=list)  # version, key, whether established
     ever_written: set[Key] = field(default_factory=set)
 
     def body(self, key: Key) -> Body | None:
