--- a/dykeshift/configuration/resources.py
+++ b/dykeshift/configuration/resources.py
@@ -48,8 +48,8 @@
     worth: float
     idempotency: Literal["pure", "token", "side_effect"] = "side_effect"
     scope: Literal["all", "zone", "cell"] = "all"
-    window_ns: int = 0
-    late_share: float = 0.0
+    window_ns: int = 0  # how long repeats of a keyed request are dropped
+    late_share: float = 0.0  # part of the worth earned by an answer between aim and deadline
     stream: bool = False
     position: int = 0
 
@@ -75,13 +75,13 @@
     attempt_limit: int = 1
     copies_allowed: bool = False
     cancel_allowed: bool = False
-    cold_share: float = 0.0
+    cold_share: float = 0.0  # a cold server starts with at least this share of its capacity
     cold_time_ns: int = 0
-    overload_multiple: float = 1.0
-    overload_window_ns: int = 0
-    answer_slack_ns: int = 0
-    worth_by_work: bool = False
-    worst_class: float = 0.0
+    overload_multiple: float = 1.0  # a cold server fails if sent more than this multiple of its capacity
+    overload_window_ns: int = 0  # how long it then fails
+    answer_slack_ns: int = 0  # how long after the deadline a final answer may come
+    worth_by_work: bool = False  # the worth counts per unit of work, not per request
+    worst_class: float = 0.0  # 0 to 0.99: weight of the worst-served class against all requests
     retry_advice: bool = False
     retry_advice_limit_ns: int = 0
     ask_every_ns: int = 0  # interval of queries to discovery
--- a/tests/configuration/model.py
+++ b/tests/configuration/model.py
@@ -51,6 +51,8 @@
 
 @dataclass
 class Model:
+    """The expected state of a store; `history` has the resources as of each version."""
+
     deletion_window: int
     view: View = field(default_factory=dict)
     version: int = 0
