--- a/tests/configuration/test_translate.py
+++ b/tests/configuration/test_translate.py
@@ -1,4 +1,8 @@
-"""From a settings file to resources and back, and what a balancer acts on by them."""
+"""Conversion between settings files and resources, and the configuration that a balancer acts on.
+
+The tests with `derandomize` draw their examples by a hash of their own source: a changed name in one of them
+changes the examples.
+"""
 
 from __future__ import annotations
 
@@ -13,9 +17,9 @@
     acting_class,
     acting_route,
     acting_settings,
-    in_doubt,
+    action_without_lease,
     list_names,
-    servers_out,
+    banned_servers,
 )
 from dykeshift.configuration.meets import guarded
 from dykeshift.configuration.resources import (
@@ -99,7 +103,7 @@
 
 
 def typed(puts: tuple[Put, ...]) -> tuple[Service, list[tuple[str, ClassTerms]]]:
-    """The service's terms and the classes of a settings file's resources."""
+    """The terms of the service and the classes among the resources of a settings file."""
     bodies = {one.key: decode_body(one.key.kind, one.body) for one in puts}
     (service,) = (body for body in bodies.values() if isinstance(body, Service))
     return service, [(key.name, body) for key, body in bodies.items() if isinstance(body, ClassTerms)]
@@ -126,7 +130,7 @@
     assert acting_settings(held, "mail", own) is None
 
 
-def test_what_is_no_settings_file_makes_no_resources() -> None:
+def test_an_invalid_settings_file_gives_no_resources() -> None:
     files: list[dict[str, Any]] = [{}, {"services": []}, {"bounds": 3, "obligations": {}}]
     for wrong in files:
         with pytest.raises(SettingsError):
@@ -139,13 +143,13 @@
     driver.through(put(service_key("cart"), SERVICE))
     driver.through(*puts_of_lists(pages, "cart"))
     held = driver.store.scoped(Scope(frozenset({"cart"})))
-    assert servers_out(held, "cart") == {"s1"}
+    assert banned_servers(held, "cart") == {"s1"}
     assert [list_names(held, w, "cart") for w in ("preferred", "closed", "wary")] == [
         {"s2"},
         {"send"},
         {"s3"},
     ]
-    assert in_doubt(held, "cart") == "refuse"
+    assert action_without_lease(held, "cart") == "refuse"
 
 
 # ---- the meet ----
@@ -236,7 +240,7 @@
         assert repeats(after.request_class) == repeats(acting.request_class)
 
 
-def test_a_new_name_is_not_there_until_it_is_in_force() -> None:
+def test_a_new_resource_does_not_exist_until_it_is_in_force() -> None:
     assert acting_class(joint(class_key("c"), None, SAFE)) is None
     assert acting_route(joint(route_key("r"), None, Route("s", "c")), lambda key: None) is None
     assert acting_settings([joint(service_key("s"), None, SERVICE)], "s") is None
@@ -246,7 +250,7 @@
     assert acting.classes == ()
 
 
-def test_bans_and_lists_in_their_joint_phase_hold_as_they_come_and_as_they_go() -> None:
+def test_bans_and_lists_apply_in_a_joint_phase_whether_added_or_lifted() -> None:
     driver = small_store()
     driver.through(ban("cart", "s1"), word("wary", "s1", service="cart"))
     lifted = driver.begin(
@@ -254,12 +258,12 @@
     )
     driver.advance(lifted, Phase.JOINT)
     held = driver.store.scoped(Scope(frozenset({"cart"})))
-    assert servers_out(held, "cart") == {"s1"}
+    assert banned_servers(held, "cart") == {"s1"}
     assert list_names(held, "wary", "cart") == {"s1", "s2"}
-    assert in_doubt(held, "cart") == "refuse"
-    assert (servers_out(held, "mail"), in_doubt(held, "mail")) == (frozenset(), "refuse")
+    assert action_without_lease(held, "cart") == "refuse"
+    assert (banned_servers(held, "mail"), action_without_lease(held, "mail")) == (frozenset(), "refuse")
     driver.advance(lifted, Phase.COMMITTED)
-    assert servers_out(driver.store.scoped(Scope.everything()), "cart") == frozenset()
+    assert banned_servers(driver.store.scoped(Scope.everything()), "cart") == frozenset()
 
 
 @pytest.mark.parametrize(("one", "other"), product((SAFE, UNSAFE), repeat=2))
