--- a/dykeshift/configuration/campaign.py
+++ b/dykeshift/configuration/campaign.py
@@ -1,9 +1,9 @@
-"""A drawn day of the control tier and its subscribers: changes all the time, and what can happen to them.
+"""A randomized run of the control tier and its subscribers: continuous changes under fault injection.
 
-Each seed draws the network's conditions, the changes, and faults of the leader, a voter, a replica or a
-subscriber, of a rack, a zone, or between the regions: killed, stopped, cut off both ways or one way, each
-with an end. Then all is mended, and within a stated time every subscriber has to show the newest version and
-hold a lease. The checker's promises hold throughout.
+The seed determines the network's conditions, the changes, and the faults: of the leader, a control machine,
+a subscriber, a rack, a zone, or of the link between the regions. Hosts are killed, paused, or cut off in
+both directions or one, each for a limited time. Then all faults are removed, and within a stated time every
+subscriber has to show the newest version and hold a lease. The checker's guarantees hold throughout.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from dykeshift.configuration.transactions import Advance, Phase, Put, Transaction, encode_entry
 from dykeshift.configuration.virtual import Host
 
-DAY = 40.0  # seconds of changes and faults
-MENDED_WITHIN = 60.0  # seconds until everybody has come back
+FAULT_SECONDS = 40.0  # seconds of changes and faults
+RECOVERY_SECONDS = 60.0  # seconds for all subscribers to recover after the faults are removed
 LOSSES = (0.0, 0.1, 0.3)
-SMALL = TierOptions(subscribers=12, services=24, tenants=160, routes=60, services_held=4)
+SMALL_TIER = TierOptions(subscribers=12, services=24, tenants=160, routes=60, services_held=4)
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What came of a day."""
+    """The result of a run."""
 
     seed: object
     broken: tuple[str, ...]
     faults: dict[str, int]
     versions: int
-    settled_after: float  # seconds after all was mended; as long as was waited, where not everybody came back
+    settled_after: float  # seconds after the faults were removed; the limit if not all subscribers recovered
 
 
-class Day:
-    """One drawn day."""
+class RandomizedRun:
+    """One randomized run."""
 
-    def __init__(self, seed: object, options: TierOptions = SMALL) -> None:
+    def __init__(self, seed: object, options: TierOptions = SMALL_TIER) -> None:
         self.seed = seed
         self.tier = Tier(seed, options)
         self.network = self.tier.network
@@ -47,28 +47,28 @@
         self.rng = Random(f"day/{seed}")
         self.faults: Counter[str] = Counter()
         self.end = 0.0
-        self.created = 0
+        self.created_routes = 0
 
-    def play(self) -> Report:
-        """The whole day."""
+    def run(self) -> Report:
+        """Executes the run."""
         tier, network = self.tier, self.network
         tier.start_control()
         tier.start_subscribers()
         network.run(self.rng.uniform(0.5, 6))
         network.conditions.loss = self.rng.choice(LOSSES)
-        network.conditions.double = self.rng.choice((0.0, 0.1))
-        network.conditions.late = self.rng.choice((0.0, 0.05))
-        self.end = network.now / 1e9 + DAY
+        network.conditions.duplicate_rate = self.rng.choice((0.0, 0.1))
+        network.conditions.delay_rate = self.rng.choice((0.0, 0.05))
+        self.end = network.now / 1e9 + FAULT_SECONDS
         self._change()
         self._fault()
-        network.run(DAY)
+        network.run(FAULT_SECONDS)
         network.mend()
         network.run(1.0)
-        mended = network.now
-        settled = network.run(MENDED_WITHIN, tier.settled)
+        repaired_at = network.now
+        settled = network.run(RECOVERY_SECONDS, tier.settled)
         if not settled:
-            self.checker.broken.append(f"not settled after {MENDED_WITHIN} s: {self._behind()}")
-        after = (network.now - mended) / 1e9
+            self.checker.broken.append(f"not settled after {RECOVERY_SECONDS} s: {self._behind()}")
+        after = (network.now - repaired_at) / 1e9
         return Report(
             self.seed,
             tuple(self.checker.broken),
@@ -121,16 +121,16 @@
             self.tier.change(deletes=(Key(Kind.TENANT, self.rng.choice(there)),))
 
     def _change_route(self) -> None:
-        self.created += 1
+        self.created_routes += 1
         body = encode_body(Route(self._service(), self.rng.choice(("interactive", "batch", "background"))))
-        self.tier.change((Put(Key(Kind.ROUTE, f"/new/{self.created}"), body),))
+        self.tier.change((Put(Key(Kind.ROUTE, f"/new/{self.created_routes}"), body),))
 
     def _change_service(self) -> None:
         body = encode_body(Service(servers=20, worst_class=self.rng.random()))
         self.tier.change((Put(Key(Kind.SERVICE, self._service()), body),))
 
     def _ban(self) -> None:
-        """A guarded change, with its joint phase."""
+        """Proposes a guarded change and advances it through its joint phase."""
         tier, service = self.tier, self._service()
         tier.next_ident += 1
         ident = tier.next_ident
@@ -154,7 +154,7 @@
         if what == "regions":
             how = self.rng.choice(("cut", "one way"))
         self.faults[f"{what}: {how}"] += 1
-        self._hurt(how, what, hosts, self.rng.uniform(0.5, 15.0))
+        self._inject(how, what, hosts, self.rng.uniform(0.5, 15.0))
 
     def _targets(self) -> list[tuple[str, list[Host]]]:
         tier, rng = self.tier, self.rng
@@ -170,12 +170,12 @@
             ("regions", []),
         ]
 
-    def _hurt(self, how: str, what: str, hosts: list[Host], seconds: float) -> None:
+    def _inject(self, how: str, what: str, hosts: list[Host], seconds: float) -> None:
         network = self.network
         if how == "kill":
-            self._each(hosts, network.kill, network.start, seconds)
+            self._apply_and_undo(hosts, network.kill, network.start, seconds)
         elif how == "stop":
-            self._each(hosts, network.stop, network.resume, seconds)
+            self._apply_and_undo(hosts, network.stop, network.resume, seconds)
         elif what == "regions":
             self._cut("east", "west", how == "cut", seconds)
         else:
@@ -189,7 +189,7 @@
                 else:
                     self._cut(region, host.name, False, seconds)
 
-    def _each(
+    def _apply_and_undo(
         self, hosts: list[Host], do: Callable[[Host], None], undo: Callable[[Host], None], seconds: float
     ) -> None:
         for host in hosts:
@@ -202,6 +202,6 @@
         self.network.after(seconds, self.network.cuts.difference_update, pairs)
 
 
-def play(seed: object, options: TierOptions = SMALL) -> Report:
-    """The day of a seed."""
-    return Day(seed, options).play()
+def run_seed(seed: object, options: TierOptions = SMALL_TIER) -> Report:
+    """Executes the run of a seed."""
+    return RandomizedRun(seed, options).run()
--- a/dykeshift/configuration/choice.py
+++ b/dykeshift/configuration/choice.py
@@ -1,7 +1,7 @@
-"""Which replica a subscriber asks next: those of its region first, in its own order, the failed ones later.
+"""Which replica a subscriber tries next: those of its region first, in random order, failed ones later.
 
-Each failure of a replica doubles the time for which others go before it, with a jitter, so that those who
-lost a replica at once do not come back at once.
+Each failure of a replica doubles the time for which others are preferred to it, with jitter, so that
+subscribers that lost a replica at the same time do not return to it at the same time.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 SECOND = 1_000_000_000
 PENALTY = SECOND // 2  # for the first failure
-LONGEST_PENALTY = 30 * SECOND
-DISTRUST = 60 * SECOND  # for a replica that said what is not so
-LONGEST_DISTRUST = 3600 * SECOND
-MOST_DOUBLINGS = 16
+MAX_PENALTY = 30 * SECOND
+WRONG_DATA_PENALTY = 60 * SECOND  # for a replica that sent wrong data
+MAX_WRONG_DATA_PENALTY = 3600 * SECOND
+MAX_DOUBLINGS = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,15 +31,15 @@
 @dataclass(slots=True)
 class _Record:
     failures: int = 0
-    lies: int = 0
-    until: int = 0  # others go first until then
+    wrong_answers: int = 0
+    deprioritized_until: int = 0  # other replicas are tried first until then
 
 
 class ReplicaChoice:
-    """An order over the replicas, with what was found out about each."""
+    """The preference order of the replicas, with failures and wrong answers of each."""
 
     def __init__(self, places: Sequence[Place], region: str, rng: Random) -> None:
-        """ValueError where there are none."""
+        """Raises ValueError if there are no replicas."""
         if not places:
             raise ValueError("a subscriber needs at least one replica")
         self.rng = rng
@@ -51,41 +51,43 @@
         self.records = {address: _Record() for address in self.order}
 
     def next(self, now: int) -> tuple[Address, int]:
-        """The replica to ask, and when."""
+        """The replica to try next, and when."""
         for address in self.order:
-            if self.records[address].until <= now:
+            if self.records[address].deprioritized_until <= now:
                 return address, now
-        soonest = min(self.order, key=lambda address: self.records[address].until)
-        return soonest, self.records[soonest].until
+        soonest = min(self.order, key=lambda address: self.records[address].deprioritized_until)
+        return soonest, self.records[soonest].deprioritized_until
 
-    def other(self, address: Address | None) -> Address | None:
-        """A replica drawn from those that are not known to lie, but for this one."""
-        found = [a for a in self.order if a != address and not self.records[a].lies]
+    def random_other(self, address: Address | None) -> Address | None:
+        """A random replica other than `address` that has given no wrong answer; None if there is none."""
+        found = [a for a in self.order if a != address and not self.records[a].wrong_answers]
         return self.rng.choice(found) if found else None
 
     def prefer(self, address: Address) -> None:
-        """Ask this one first."""
+        """Makes this replica the first to try."""
         if address in self.records:
             self.order.remove(address)
             self.order.insert(0, address)
-            self.records[address].until = 0
+            self.records[address].deprioritized_until = 0
 
     def failed(self, now: int, address: Address) -> None:
-        """It did not answer, or could not serve."""
+        """The replica did not answer, or could not serve."""
         record = self.records[address]
         record.failures += 1
-        self._hold_back(now, record, PENALTY, record.failures, LONGEST_PENALTY)
+        self._deprioritize(now, record, PENALTY, record.failures, MAX_PENALTY)
 
-    def lied(self, now: int, address: Address) -> None:
-        """What it said is not so."""
+    def sent_wrong_data(self, now: int, address: Address) -> None:
+        """The replica sent data or a claim that proved wrong."""
         record = self.records[address]
-        record.lies += 1
-        self._hold_back(now, record, DISTRUST, record.lies, LONGEST_DISTRUST)
+        record.wrong_answers += 1
+        self._deprioritize(now, record, WRONG_DATA_PENALTY, record.wrong_answers, MAX_WRONG_DATA_PENALTY)
 
     def served(self, address: Address) -> None:
-        """It serves well."""
+        """The replica renewed a lease: resets its failures."""
         self.records[address].failures = 0
 
-    def _hold_back(self, now: int, record: _Record, first: int, times: int, most: int) -> None:
-        penalty = min(most, first << min(times - 1, MOST_DOUBLINGS))
-        record.until = max(record.until, now + int(penalty * self.rng.uniform(0.5, 1.5)))
+    def _deprioritize(self, now: int, record: _Record, first: int, times: int, most: int) -> None:
+        penalty = min(most, first << min(times - 1, MAX_DOUBLINGS))
+        record.deprioritized_until = max(
+            record.deprioritized_until, now + int(penalty * self.rng.uniform(0.5, 1.5))
+        )
--- a/dykeshift/configuration/control.py
+++ b/dykeshift/configuration/control.py
@@ -1,7 +1,9 @@
-"""One control machine: the consensus with the store as its state machine, and the replica that reads it.
+"""One control machine: the consensus core with the store as its state machine, and the replica that serves
+it.
 
-Sans-I/O like its parts: time and datagrams in, datagrams out. A datagram is the consensus's or the replica's
-by its kind. Whenever the store has a later version the replica is told at once.
+Sans-I/O like its parts: takes the time and datagrams, returns datagrams. The kind of a datagram decides
+whether it goes to the consensus core, the coordination or the replica. The replica is notified at once when
+the store has a newer version.
 """
 
 from __future__ import annotations
@@ -20,14 +22,14 @@
 
 
 def freshness_age(core: Agree, now: int) -> int | None:
-    """How many nanoseconds ago all that was committed was in this process's store; None: it is not known."""
+    """How many nanoseconds ago this process's store held everything committed; None where that is unknown."""
     if not core.spread.lease_left(now) or core.spread.fresh_at is None:
         return None
     return max(0, now - core.spread.fresh_at)
 
 
 class ControlMachine:
-    """The cores of one of the machines set aside for control."""
+    """The consensus core, replica and coordination of one dedicated control machine."""
 
     def __init__(
         self,
@@ -38,53 +40,54 @@
         rng: Random,
         coordinator: CoordinatorOptions | None = None,
     ) -> None:
-        """`store` is the state machine of `core`. `coordinator`: how transactions are led; None: they are led
-        by somebody else."""
+        """`store` is the state machine of `core`. `coordinator`: options for leading transactions; None
+        where they are led elsewhere."""
         self.core, self.store = core, store
         self.replica = Replica(options, seal, store, lambda now: freshness_age(core, now), rng, 0)
         self.coordination: Coordination | None = None
         if coordinator is not None:
             self.coordination = Coordination(core, store, self.replica, seal, coordinator)
-        self.told = store.version
+        self.reported_version = store.version
         self.next_at = 0
 
     def start(self, now: int) -> Out:
-        """Begin."""
-        self._note_lineage(now)
+        """Starts the cores."""
+        self._update_lineage(now)
         out = self.core.start(now) + self.replica.start(now)
-        return self._done(now, out)
+        return self._finish_step(now, out)
 
     def on_timer(self, now: int) -> Out:
-        """To be called at `next_at` or later."""
+        """Called by the host at `next_at` or later."""
         out: Out = []
         if now >= self.core.next_at:
             out += self.core.on_timer(now)
         if now >= self.replica.next_at:
             out += self.replica.on_timer(now)
-        return self._done(now, out)
+        return self._finish_step(now, out)
 
     def on_datagram(self, now: int, data: bytes, address: Address) -> Out:
-        """Whatever arrived on the port."""
+        """Dispatches one datagram that arrived on the port."""
         if is_consensus(data):
             out = self.core.on_datagram(now, data, address)
         elif is_fence(data):
             out = self.coordination.on_datagram(data) if self.coordination is not None else []
         else:
             out = self.replica.on_datagram(now, data, address)
-        return self._done(now, out)
+        return self._finish_step(now, out)
 
     def after(self, now: int, out: Out) -> Out:
-        """After a call of the core by somebody else, such as a proposal: `out` is what it returned."""
-        return self._done(now, out)
+        """Called after the host called the consensus core directly, such as for a proposal; `out`: what it
+        returned."""
+        return self._finish_step(now, out)
 
-    def _note_lineage(self, now: int) -> None:
+    def _update_lineage(self, now: int) -> None:
         history, epoch, founder = self.core.shared.epoch
-        self.replica.enter(now, history << 32 | (epoch & 0xFFFF) << 16 | founder & 0xFFFF)
+        self.replica.set_lineage(now, history << 32 | (epoch & 0xFFFF) << 16 | founder & 0xFFFF)
 
-    def _done(self, now: int, out: Out) -> Out:
-        self._note_lineage(now)
-        if self.store.version != self.told:
-            self.told = self.store.version
+    def _finish_step(self, now: int, out: Out) -> Out:
+        self._update_lineage(now)
+        if self.store.version != self.reported_version:
+            self.reported_version = self.store.version
             out = out + self.replica.on_change(now)
         self.next_at = min(self.core.next_at, self.replica.next_at)
         if self.coordination is not None:
--- a/dykeshift/configuration/coordination.py
+++ b/dykeshift/configuration/coordination.py
@@ -1,14 +1,16 @@
-"""One control machine's part in leading transactions: its fence to the others, and proposals while it leads.
+"""One control machine's part in leading transactions: reports its fence, and proposes entries while it is
+leader.
 
-Theory of operation. Each machine tells all others of the tier its replica's fence: at once when it has gone
-up, and again while a transaction is in its joint phase, so that a lost datagram is made up for. So whoever
-leads next knows the fences already. Who leads, and knows what is committed, proposes what its coordinator
-says, one entry at a time: the next one when the store has a later version, or when there was no answer for a
-while. A proposal that is committed twice, or by two leaders, changes nothing the second time (store.py).
+Theory of operation. Each machine reports its replica's fence to all others of the tier: at once when it has
+advanced, and repeatedly while a transaction is in its joint phase, to make up for lost datagrams. The next
+leader therefore knows the fences already. A leader that knows what is committed proposes the entries that
+its coordinator returns, one at a time: the next one when the store has a newer version, or when the
+proposal timed out. An entry that is committed twice, also by two leaders, has no effect the second time
+(store.py).
 
-Promises:
- 1. At most one proposal of this machine is under way, on the version that the store has.
- 2. At most one FENCE goes to each machine in `PACE`.
+Guarantees:
+ 1. At most one proposal of this machine is in flight, based on the store's present version.
+ 2. At most one FENCE is sent to each machine per `FENCE_INTERVAL`.
 """
 
 from __future__ import annotations
@@ -23,14 +25,14 @@
 from dykeshift.view.wire import Bad, Seal
 
 MS = 1_000_000
-PACE = 200 * MS  # between two FENCE datagrams, and two looks while something is under way
-REPEAT = 600 * MS  # until a FENCE goes out again while a transaction is in its joint phase
-REST = 1_000 * MS  # between two looks otherwise
-ANSWER = 2_000 * MS  # that a proposal may take
+FENCE_INTERVAL = 200 * MS  # between two FENCE datagrams, and between two steps while a transaction is open
+FENCE_REPEAT = 600 * MS  # after which a FENCE is repeated while a transaction is in its joint phase
+IDLE_INTERVAL = 1_000 * MS  # between two steps otherwise
+PROPOSAL_TIMEOUT = 2_000 * MS  # after which an unanswered proposal may be repeated
 
 
 class Coordination:
-    """Beside the consensus core and the replica of one control machine."""
+    """Connects the coordinator to the consensus core and the replica of one control machine."""
 
     def __init__(
         self,
@@ -40,27 +42,27 @@
         seal: Seal,
         options: CoordinatorOptions,
     ) -> None:
-        """All places that the core knows are the tier."""
+        """All members that the consensus core knows form the tier."""
         self.core, self.store, self.replica, self.seal = core, store, replica, seal
         self.coordinator = Coordinator(options, store, frozenset(core.shared.places))
         self.next_at = 0
-        self.told = 0  # the fence that was told last
-        self.tell_at = 0  # not before
-        self.tell_again_at = 0
-        self.proposed = -1  # the version that the last proposal builds on
-        self.answer_by = 0
+        self.reported_fence = 0  # the fence that was reported last
+        self.report_not_before = 0  # the next FENCE is not sent before this time
+        self.repeat_report_at = 0
+        self.proposed_on = -1  # the version that the last proposal was based on
+        self.proposal_deadline = 0
 
     @property
-    def leads(self) -> bool:
-        """Whether this machine leads, and knows what is committed."""
+    def is_leader(self) -> bool:
+        """Whether this machine is the leader and knows what is committed."""
         return self.core.voter.settled()
 
     def submit(self, transaction: Transaction) -> Objection | None:
-        """To be led through its phases, if this machine leads; the objection where it is not taken."""
+        """Queues a transaction to be led through its phases; returns the objection if it is refused."""
         return self.coordinator.submit(transaction)
 
     def on_datagram(self, data: bytes) -> Out:
-        """A FENCE of another machine."""
+        """Handles a FENCE datagram of another machine."""
         try:
             message = wire.decode(data, self.seal)
         except Bad:
@@ -70,37 +72,41 @@
         return []
 
     def step(self, now: int) -> Out:
-        """After whatever has happened at this machine."""
+        """Called after every step of this machine; returns the datagrams to send."""
         coordinator = self.coordinator
         coordinator.enter(self.replica.lineage)
         own = FenceReport(self.core.shared.number, self.replica.lineage, self.replica.fenced)
         coordinator.on_fence(own)
         coordinator.look(now)
-        out = self._tell(now)
-        if self.leads:
+        out = self._report_fence(now)
+        if self.is_leader:
             out += self._propose(now)
         busy = bool(self.store.pending or coordinator.queue.waiting)
-        self.next_at = now + (PACE if busy else REST)
+        self.next_at = now + (FENCE_INTERVAL if busy else IDLE_INTERVAL)
         return out
 
-    def _tell(self, now: int) -> Out:
+    def _report_fence(self, now: int) -> Out:
         fenced = self.replica.fenced
         joint = any(pending.phase is Phase.JOINT for pending in self.store.pending.values())
-        due = fenced != self.told or (joint and now >= self.tell_again_at)
-        if not due or now < self.tell_at or not self.replica.lineage:
+        due = fenced != self.reported_fence or (joint and now >= self.repeat_report_at)
+        if not due or now < self.report_not_before or not self.replica.lineage:
             return []
-        self.told, self.tell_at, self.tell_again_at = fenced, now + PACE, now + REPEAT
+        self.reported_fence, self.report_not_before, self.repeat_report_at = (
+            fenced,
+            now + FENCE_INTERVAL,
+            now + FENCE_REPEAT,
+        )
         number = self.core.shared.number
         data = wire.encode(wire.Fence(number, self.replica.lineage, fenced), self.seal)
         return [(data, address) for other, address in self.core.shared.places.items() if other != number]
 
     def _propose(self, now: int) -> Out:
         version = self.store.version
-        if version == self.proposed and now < self.answer_by:
+        if version == self.proposed_on and now < self.proposal_deadline:
             return []
         entry = self.coordinator.next(now)
         if entry is None:
             return []
-        self.proposed, self.answer_by = version, now + ANSWER
-        _, out = self.core.propose(now, encode_entry(entry), version, ANSWER)
+        self.proposed_on, self.proposal_deadline = version, now + PROPOSAL_TIMEOUT
+        _, out = self.core.propose(now, encode_entry(entry), version, PROPOSAL_TIMEOUT)
         return out
--- a/dykeshift/configuration/lease.py
+++ b/dykeshift/configuration/lease.py
@@ -1,8 +1,9 @@
-"""A subscriber's lease: until when it may act on guarded terms without asking.
+"""A subscriber's lease: until when it may act on guarded terms without a new grant.
 
-It counts from when the subscriber asked, less the age that the replica says its store has: so all that was
-committed before is in the store's version, the grant's stamp. It counts only once that version is shown. So
-who holds a lease at t shows all that was committed by t - lease, however long question and answer took.
+A lease runs from the time of the request, less the age that the replica reports for its store: everything
+that was committed before that time is in the store's version, the grant's stamp. It takes effect only once
+that version is shown. A subscriber that holds a lease at t therefore shows everything committed by t -
+lease, however long the request and the grant were in flight.
 """
 
 from __future__ import annotations
@@ -12,59 +13,60 @@
 from dykeshift.configuration.wire import NO_AGE
 
 MS = 1_000_000
-MOST_ASKED = 32  # questions without an answer
-MOST_AWAITED = 8  # grants whose version is not shown yet
+MAX_OPEN_REQUESTS = 32  # requests without a grant
+MAX_PENDING_GRANTS = 8  # grants whose stamp is not shown yet
 
 
 @dataclass(frozen=True, slots=True)
-class Awaited:
-    """A grant that counts from `fresh_at` on, once `stamp` is shown."""
+class PendingGrant:
+    """A grant whose lease runs from `fresh_at`, and takes effect once `stamp` is shown."""
 
     fresh_at: int
     stamp: int
 
 
 class SubscriberLease:
-    """The lease of one subscriber, through all its sessions of one history."""
+    """The lease of one subscriber, across all its sessions within one history."""
 
     def __init__(self, lease: int, drift: float) -> None:
-        """`lease`: nanoseconds; `drift`: the part by which one clock may run faster or slower."""
+        """`lease`: nanoseconds; `drift`: fraction by which a clock may run fast or slow."""
         self.length = int(lease * (1 - 2 * drift))
         self.drift = drift
-        self.asked: dict[int, int] = {}  # nonce: when
-        self.awaited: list[Awaited] = []
+        self.requested_at: dict[int, int] = {}  # request time by nonce
+        self.pending: list[PendingGrant] = []
         self.fresh_at: int | None = None
 
     def drop(self) -> None:
-        """What is shown is not to be acted on: neither now nor by a grant under way."""
-        self.asked.clear()
-        self.awaited.clear()
+        """Ends the lease and ignores all grants that are still in flight or pending."""
+        self.requested_at.clear()
+        self.pending.clear()
         self.fresh_at = None
 
-    def ask(self, now: int, nonce: int) -> None:
-        """A question goes out."""
-        self.asked[nonce] = now
-        while len(self.asked) > MOST_ASKED:
-            del self.asked[next(iter(self.asked))]
+    def on_request(self, now: int, nonce: int) -> None:
+        """Records a lease request that is being sent."""
+        self.requested_at[nonce] = now
+        while len(self.requested_at) > MAX_OPEN_REQUESTS:
+            del self.requested_at[next(iter(self.requested_at))]
 
     def on_grant(self, nonce: int, stamp: int, age_ms: int, shown: int) -> bool:
-        """The answer to a question, once each; whether it was one and may give a lease."""
-        asked_at = self.asked.pop(nonce, None)
-        if asked_at is None or age_ms == NO_AGE or not stamp:
+        """Handles a grant. Returns whether it answers an open request and may give a lease; each nonce
+        counts once."""
+        sent_at = self.requested_at.pop(nonce, None)
+        if sent_at is None or age_ms == NO_AGE or not stamp:
             return False
         age = int(age_ms * MS * (1 + 2 * self.drift))
-        self.awaited = [*self.awaited, Awaited(asked_at - age, stamp)][-MOST_AWAITED:]
+        self.pending = [*self.pending, PendingGrant(sent_at - age, stamp)][-MAX_PENDING_GRANTS:]
         self.on_shown(shown)
         return True
 
     def on_shown(self, shown: int) -> None:
-        """So much is shown now."""
-        counted = [grant.fresh_at for grant in self.awaited if grant.stamp <= shown]
+        """Lets pending grants take effect whose stamp is covered by the shown version."""
+        starts = [grant.fresh_at for grant in self.pending if grant.stamp <= shown]
         if self.fresh_at is not None:
-            counted.append(self.fresh_at)
-        self.fresh_at = max(counted, default=None)
-        self.awaited = [grant for grant in self.awaited if grant.stamp > shown]
+            starts.append(self.fresh_at)
+        self.fresh_at = max(starts, default=None)
+        self.pending = [grant for grant in self.pending if grant.stamp > shown]
 
     def left(self, now: int) -> int:
-        """For how many nanoseconds it holds; 0: there is none."""
+        """Remaining nanoseconds of the lease; 0 if none is held."""
         return 0 if self.fresh_at is None else max(0, self.fresh_at + self.length - now)
--- a/dykeshift/configuration/replica.py
+++ b/dykeshift/configuration/replica.py
@@ -1,31 +1,34 @@
-"""A replica of the store, as subscribers see it: time and datagrams in, datagrams out.
+"""A replica of the store as it serves subscribers: takes the time and datagrams in, returns datagrams out
+(sans-I/O).
 
 Theory of operation. A session goes
 
-    HELLO -> WELCOME (scope missing) -> SCOPE ... -> WELCOME (whole) -> RENEW: confirmed -> parts, grants
-    HELLO -> WAIT: not now
+    HELLO -> WELCOME (scope missing) -> SCOPE ... -> WELCOME (scope known) -> RENEW: confirmed -> parts,
+    grants HELLO -> WAIT: not now
 
-It is *confirmed* by the first datagram that carries the token of its WELCOME; only then it takes the place of
-an earlier session of the same name, and only then parts are sent. So a HELLO that is played again neither
-ends a session nor draws more than one answer.
+A session is *confirmed* by the first datagram that carries the token of its WELCOME. Only then does it
+replace an earlier session of the same name, and only then are parts sent. A replayed HELLO therefore
+neither ends a session nor draws more than one answer.
 
-A confirmed session has a position (catch_up.py). Whenever the store has more in its scope and nothing is on
-the way, the next part is built and sent in chunks, within the budgets of the session and of the replica.
-Who catches up holds a slot of the admission queue until its last part is acknowledged.
+A confirmed session has a position (catch_up.py). Whenever the store has newer changes in the session's scope
+and no part is in flight, the next part is built and sent in chunks, within the budgets of the session and of
+the replica. A subscriber that catches up holds a slot of the admission queue until its last part is
+acknowledged.
 
-A grant says: all that was committed `age_ms` ago is in this store, whose version is `stamp`. The subscriber
-counts the lease from when it asked, less that age, and only once it shows `stamp` (lease.py). This replica
-notes until when it may be valid at most, and from which version on.
+A grant states that everything committed until `age_ms` ago is in this store, whose version is `stamp`. The
+subscriber counts its lease from the time of its request, less that age, and only once it shows `stamp`
+(lease.py). The replica records the latest time until which the lease may be valid, and the oldest version
+that its holder may act on.
 
-The *fence* is the largest version of which this replica knows that nobody acts on an older one by a lease of
-its own granting: everybody shows it, or their leases are over. After a start nothing is fenced until the
-leases of an earlier life are over.
+The *fence* is the largest version for which this replica knows that no subscriber acts on an older one
+under a lease that it granted: every subscriber shows it, or its lease has expired. After a start the fence
+stays at 0 until all leases granted before the restart have expired.
 
-Promises:
- 1. Bytes and datagrams a second never exceed the budgets, repetitions included.
- 2. What is remembered is bounded (sessions.py), whatever is sent here.
- 3. The fence never goes down, and nobody holds a lease by this replica on a version below it.
- 4. Nothing is granted without the store's freshness, nor by a session that this replica does not know.
+Guarantees:
+ 1. Bytes and datagrams per second never exceed the budgets, retransmissions included.
+ 2. Memory is bounded (sessions.py), whatever is received.
+ 3. The fence never decreases, and nobody holds a lease of this replica on a version below it.
+ 4. No lease is granted while the store's freshness is unknown, nor to a session unknown to this replica.
 """
 
 from __future__ import annotations
@@ -51,7 +54,7 @@
 )
 from dykeshift.configuration.scope import Scope
 from dykeshift.configuration.scope_codec import LONGEST_SCOPE, ScopeError, scope_digest, unpack_scope
-from dykeshift.configuration.sessions import Lease, Roll, ScopeCache, Session
+from dykeshift.configuration.sessions import Lease, SubscriberProgress, ScopeCache, Session
 from dykeshift.configuration.transfer import Sender
 from dykeshift.configuration.wire import NO_AGE, Message, WaitReason
 from dykeshift.view.table import Address
@@ -59,32 +62,32 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-MOST_LEASES = 4096  # leases of sessions that are over
+MAX_RETAINED_LEASES = 4096  # leases of closed sessions that are still tracked
 
 Out = list[tuple[bytes, Address]]
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaOptions:
-    """Times in nanoseconds; budgets in bytes or datagrams a second, bursts in the same at once."""
+    """Times in nanoseconds; budgets in bytes or datagrams per second, bursts in bytes or datagrams."""
 
-    lease: int = 5 * SECOND  # how long a subscriber may act on what was fresh
-    drift: float = 0.01  # the part by which one clock may run faster or slower
-    most_sessions: int = 400
-    slots: int = 40  # of those who catch up at once
-    most_waiting: int = 1024
+    lease: int = 5 * SECOND  # how long a subscriber may act on a version that was up to date
+    drift: float = 0.01  # fraction by which a clock may run fast or slow
+    max_sessions: int = 400
+    slots: int = 40  # subscribers that may catch up at the same time
+    max_waiting: int = 1024
     session_bytes: int = 6_000
     session_burst: int = 1_200
     bytes: int = 300_000
     datagrams: int = 3_000
-    reserve: float = 0.3  # the part of the replica's budget that parts leave to everything else
+    reserved_share: float = 0.3  # fraction of the budgets that parts leave to other datagrams
     part_bytes: int = PART_BYTES
-    tick: int = 50 * MS  # between two looks while something is sent
-    rest: int = 250 * MS  # between two looks otherwise
-    unconfirmed: int = 3 * SECOND  # after which a session that never answered is over
-    silence: int = 15 * SECOND  # after which a session is over
-    retry_full: int = 5 * SECOND
-    retry_unready: int = 1 * SECOND
+    send_interval: int = 50 * MS  # timer interval while parts are being sent
+    idle_interval: int = 250 * MS  # timer interval otherwise
+    unconfirmed_timeout: int = 3 * SECOND  # after which a session that was never confirmed is closed
+    session_timeout: int = 15 * SECOND  # without a datagram, after which a session is closed
+    retry_when_full: int = 5 * SECOND
+    retry_when_unready: int = 1 * SECOND
 
 
 class Replica:
@@ -99,58 +102,59 @@
         rng: Random,
         lineage: int = 1,
     ) -> None:
-        """`age`: how many nanoseconds ago the store held all that was committed; None: it is not known.
+        """`age`: how many nanoseconds ago the store held everything committed; None where that is unknown.
 
-        `lineage`: the history that the store's versions belong to; 0: it is not known yet.
+        `lineage`: identifies the history that the store's versions belong to; 0 where it is not known yet.
         """
         self.options, self.seal, self.source, self.age, self.rng = options, seal, source, age, rng
         self.lineage = lineage
         self.sessions: dict[int, Session] = {}  # by token
-        self.by_name: dict[str, Session] = {}  # confirmed ones
+        self.by_name: dict[str, Session] = {}  # confirmed sessions
         self.unconfirmed: dict[str, Session] = {}
         self.scopes = ScopeCache()
-        self.queue = AdmissionQueue(options.slots, options.most_waiting)
-        self.roll = Roll()
-        self.leases: list[Lease] = []  # of sessions that are over
-        self.active: deque[int] = deque()  # tokens of sessions with something to send, in turn
+        self.queue = AdmissionQueue(options.slots, options.max_waiting)
+        self.progress = SubscriberProgress()
+        self.leases: list[Lease] = []  # of closed sessions
+        self.sending: deque[int] = deque()  # tokens of sessions with a part to send, served round-robin
         self.bytes = TokenBucket(options.bytes, options.bytes // 4)
         self.datagrams = TokenBucket(options.datagrams, options.datagrams // 4)
         self.fenced = 0
-        self.blind_until = 0  # leases of an earlier life may be valid until then
+        self.fence_blocked_until = 0  # leases that were granted before a restart may be valid until then
         self.next_at = 0
-        self.looked_at = 0
-        self.offered = 0  # the version for which all sessions were looked through
+        self.last_scan_at = 0
+        self.offered_version = 0  # the version for which parts of all sessions were started
         self.dropped: dict[str, int] = {}
         self.out: Out = []
 
     # ---- what the host calls ----
 
     def start(self, now: int) -> Out:
-        """Begin; nothing is known of an earlier life."""
-        self.blind_until = now + self._lease_at_most()
-        self.looked_at = now - self.options.rest
+        """Starts the replica. Leases granted before a restart are unknown and block the fence until they
+        expire."""
+        self.fence_blocked_until = now + self._longest_lease()
+        self.last_scan_at = now - self.options.idle_interval
         return self.on_timer(now)
 
     def on_timer(self, now: int) -> Out:
-        """To be called at `next_at` or later."""
-        if now - self.looked_at >= self.options.rest:
-            self.looked_at = now
-            self._look_round(now)
-        self.on_store(now)
-        self._pump(now)
-        self.next_at = now + (self.options.tick if self.active else self.options.rest)
-        return self._take_out()
+        """Called by the host at `next_at` or later."""
+        if now - self.last_scan_at >= self.options.idle_interval:
+            self.last_scan_at = now
+            self._scan_sessions(now)
+        self.start_parts(now)
+        self._send_chunks(now)
+        self.next_at = now + (self.options.send_interval if self.sending else self.options.idle_interval)
+        return self._drain_output()
 
     def on_change(self, now: int) -> Out:
-        """The store has a later version."""
-        self.on_store(now)
-        self._pump(now)
-        if self.active:
-            self.next_at = min(self.next_at, now + self.options.tick)
-        return self._take_out()
+        """Called by the host when the store has a newer version."""
+        self.start_parts(now)
+        self._send_chunks(now)
+        if self.sending:
+            self.next_at = min(self.next_at, now + self.options.send_interval)
+        return self._drain_output()
 
     def on_datagram(self, now: int, data: bytes, address: Address) -> Out:
-        """Whatever arrived on the port."""
+        """Handles one datagram that arrived on the port."""
         try:
             message = wire.decode(data, self.seal)
         except Bad as error:
@@ -164,27 +168,27 @@
             self._on_session(now, message, address)
         else:
             self._drop("kind")
-        if self.active:
-            self.next_at = min(self.next_at, now + self.options.tick)
-        return self._take_out()
+        if self.sending:
+            self.next_at = min(self.next_at, now + self.options.send_interval)
+        return self._drain_output()
 
-    def enter(self, now: int, lineage: int) -> None:
-        """The store belongs to this history from now on; sessions of another one are over."""
+    def set_lineage(self, now: int, lineage: int) -> None:
+        """Sets the history of the store; a change closes all sessions and resets the fence."""
         if lineage == self.lineage:
             return
         self.lineage = lineage
         for session in list(self.sessions.values()):
             self._close(now, session)
         self.fenced = 0
-        self.blind_until = now + self._lease_at_most()
+        self.fence_blocked_until = now + self._longest_lease()
 
     def behind(self, version: int) -> list[str]:
-        """The subscribers, by name, of which this replica does not know that they show this version."""
-        return self.roll.behind(version)
+        """The names of subscribers that have not reported showing this version or a newer one."""
+        return self.progress.behind(version)
 
     # ---- sending ----
 
-    def _take_out(self) -> Out:
+    def _drain_output(self) -> Out:
         out, self.out = self.out, []
         return out
 
@@ -199,12 +203,12 @@
         bulk: bool = False,
         bucket: TokenBucket | None = None,
     ) -> bool:
-        """Within the budgets of the replica and of the session (`bucket`), or not at all.
+        """Sends within the budgets of the replica and of the session (`bucket`); otherwise drops the message.
 
-        A part's chunk (`bulk`) leaves some of both to whatever else there is to say.
+        A chunk of a part (`bulk`) leaves `reserved_share` of the bursts to other messages.
         """
         if bulk and not self._allows(now, MOST, bulk, bucket):
-            return False  # a chunk is mostly as long as a datagram: it is not sealed in vain
+            return False  # most chunks fill a datagram: check before the cost of encoding and sealing
         data = wire.encode(message, self.seal)
         if not self._allows(now, len(data), bulk, bucket):
             return False
@@ -216,7 +220,7 @@
         return True
 
     def _allows(self, now: int, size: int, bulk: bool, bucket: TokenBucket | None) -> bool:
-        reserve = self.options.reserve if bulk else 0.0
+        reserve = self.options.reserved_share if bulk else 0.0
         allowed = (
             (bucket is None or bucket.allows(now, size, int(reserve * bucket.burst)))
             and self.bytes.allows(now, size, int(reserve * self.bytes.burst))
@@ -227,13 +231,13 @@
         return allowed
 
     def _send_to(self, now: int, session: Session, message: Message) -> bool:
-        """To a session, within its budget."""
+        """Sends to a session within its budget."""
         return self._send(now, session.address, message, bucket=session.bucket)
 
-    # ---- the beginning of a session ----
+    # ---- session setup ----
 
     def _on_hello(self, now: int, hello: wire.Hello, address: Address) -> None:
-        if self._is_old(hello):
+        if self._is_stale(hello):
             self._drop("old hello")
             return
         if self._repeat_welcome(now, hello, address):
@@ -242,7 +246,7 @@
         position = unpack_position(hello.cursor) if same else NOTHING
         reason = self._refusal(now, hello, position)
         if reason is not None:
-            self._send_wait(now, hello.session, address, self._retry(reason), reason)
+            self._send_wait(now, hello.session, address, self._retry_delay(reason), reason)
             return
         session = self._open(now, hello, address, position)
         session.scope = self.scopes.get(hello.scope_digest)
@@ -251,14 +255,14 @@
         else:
             self._admit(now, session)
 
-    def _is_old(self, hello: wire.Hello) -> bool:
-        """Whether a later HELLO of this name has begun a session."""
+    def _is_stale(self, hello: wire.Hello) -> bool:
+        """Whether a newer HELLO of this name has already opened a session."""
         known = (self.by_name.get(hello.name), self.unconfirmed.get(hello.name))
         order = (hello.birth, hello.attempt)
         return any(s is not None and order < (s.birth, s.attempt) for s in known)
 
     def _repeat_welcome(self, now: int, hello: wire.Hello, address: Address) -> bool:
-        """The same HELLO again: its answer was lost, or it is under way twice."""
+        """Answers a repeated HELLO: its answer was lost, or the network duplicated it."""
         for session in (self.by_name.get(hello.name), self.unconfirmed.get(hello.name)):
             if session is not None and (session.birth, session.attempt) == (hello.birth, hello.attempt):
                 if session.address == address and session.number == hello.session:
@@ -272,21 +276,21 @@
         ahead = max(hello.shown if hello.lineage == self.lineage else 0, position.version)
         if ahead > self.source.version:
             return WaitReason.LAGGING
-        if len(self.sessions) >= self.options.most_sessions and hello.name not in self.by_name:
+        if len(self.sessions) >= self.options.max_sessions and hello.name not in self.by_name:
             return WaitReason.FULL
         return WaitReason.FULL if not 0 < hello.scope_length <= LONGEST_SCOPE else None
 
-    def _retry(self, reason: WaitReason) -> int:
-        return self.options.retry_full if reason is WaitReason.FULL else self.options.retry_unready
+    def _retry_delay(self, reason: WaitReason) -> int:
+        return self.options.retry_when_full if reason is WaitReason.FULL else self.options.retry_when_unready
 
     def _send_wait(self, now: int, number: int, address: Address, wait: int, reason: WaitReason) -> None:
         message = wire.Wait(number, self.lineage, self.source.version, -(-wait // MS), reason)
         self._send(now, address, message)
 
     def _open(self, now: int, hello: wire.Hello, address: Address, position: Position) -> Session:
-        earlier = self.unconfirmed.get(hello.name)
-        if earlier is not None:
-            self._close(now, earlier)
+        previous = self.unconfirmed.get(hello.name)
+        if previous is not None:
+            self._close(now, previous)
         session = Session(
             name=hello.name,
             birth=hello.birth,
@@ -311,7 +315,7 @@
         self._send_to(now, session, message)
 
     def _admit(self, now: int, session: Session) -> None:
-        """A session whose scope is known: it goes on, or has to wait for a slot."""
+        """Lets a session whose scope is known proceed, or tells it to wait for a slot."""
         wait = self.queue.request(now, session.name) if self._needs_slot(session) else 0
         if wait:
             self._close(now, session)
@@ -326,7 +330,7 @@
         part = build_part(self.source, session.scope, session.position, self.options.part_bytes)
         return part.after is not None or part.start.fresh
 
-    # ---- a session ----
+    # ---- established sessions ----
 
     def _on_session(
         self, now: int, message: wire.ScopePiece | wire.Ack | wire.Renew | wire.Bye, address: Address
@@ -343,7 +347,7 @@
             return
         if isinstance(message, wire.Bye):
             if message.reason is wire.ByeReason.ENDING:
-                self.roll.left(session.name)
+                self.progress.remove(session.name)
             self._close(now, session)
             return
         if session.scope is None or message.shown > self.source.version:
@@ -351,7 +355,7 @@
             return
         self._confirm(now, session)
         session.shown = max(session.shown, message.shown)
-        self.roll.heard(now, session.name, session.shown)
+        self.progress.record(now, session.name, session.shown)
         if isinstance(message, wire.Renew):
             self._grant(now, session, message)
         else:
@@ -378,15 +382,15 @@
             return
         session.confirmed = True
         self.unconfirmed.pop(session.name, None)
-        earlier = self.by_name.get(session.name)
-        if earlier is not None:
+        previous = self.by_name.get(session.name)
+        if previous is not None:
             holds_slot = session.name in self.queue.holders
-            self._close(now, earlier, release=not holds_slot)
+            self._close(now, previous, release=not holds_slot)
         self.by_name[session.name] = session
-        self._begin_part(now, session)
+        self._start_part(now, session)
 
     def _close(self, now: int, session: Session, release: bool = True) -> None:
-        """The session is over; its leases are not."""
+        """Closes the session; leases that it was granted remain tracked until they expire."""
         self.sessions.pop(session.token, None)
         for table in (self.by_name, self.unconfirmed):
             if table.get(session.name) is session:
@@ -394,22 +398,22 @@
         if release:
             self.queue.release(now, session.name)
         self.leases += session.grants.leases(now, session.name, session.shown)
-        if len(self.leases) > MOST_LEASES:
-            del self.leases[:-MOST_LEASES]
-            self.blind_until = now + self._lease_at_most()
+        if len(self.leases) > MAX_RETAINED_LEASES:
+            del self.leases[:-MAX_RETAINED_LEASES]
+            self.fence_blocked_until = now + self._longest_lease()
 
     # ---- parts ----
 
-    def on_store(self, now: int) -> None:
-        """Look through the sessions once for each version of the store."""
-        if self.offered == self.source.version:
+    def start_parts(self, now: int) -> None:
+        """Starts parts for all sessions, once per version of the store."""
+        if self.offered_version == self.source.version:
             return
-        self.offered = self.source.version
+        self.offered_version = self.source.version
         for session in list(self.by_name.values()):
-            self._begin_part(now, session)
+            self._start_part(now, session)
 
-    def _begin_part(self, now: int, session: Session) -> None:
-        """Send what follows the session's position, where something does and nothing is on the way."""
+    def _start_part(self, now: int, session: Session) -> None:
+        """Sends the part after the session's position, if there is one and none is in flight."""
         if session.sender is not None or session.scope is None or not self.source.version:
             return
         if session.position.version > self.source.version:
@@ -421,8 +425,8 @@
         session.transfers += 1
         session.part = part
         session.sender = Sender(session.transfers, pack_part(part))
-        self.active.append(session.token)
-        self._pump_one(now, session)
+        self.sending.append(session.token)
+        self._send_chunks_of(now, session)
 
     def _on_ack(self, now: int, session: Session, ack: wire.Ack) -> None:
         sender, part = session.sender, session.part
@@ -430,7 +434,7 @@
             return
         sender.on_ack(ack.following, ack.ahead)
         if not sender.complete:
-            self._pump_one(now, session)
+            self._send_chunks_of(now, session)
             return
         session.sender = session.part = None
         if part.after is not None:
@@ -438,20 +442,20 @@
         else:
             session.position = shown_position(session.shown)
             self.queue.release(now, session.name)
-        self._begin_part(now, session)
+        self._start_part(now, session)
 
-    def _pump(self, now: int) -> None:
-        """One look at each session that has something to send, beginning where the last round ended."""
-        for _ in range(len(self.active)):
-            token = self.active.popleft()
+    def _send_chunks(self, now: int) -> None:
+        """Serves each session that has chunks to send once, starting where the last round ended."""
+        for _ in range(len(self.sending)):
+            token = self.sending.popleft()
             session = self.sessions.get(token)
             if session is None or session.sender is None:
                 continue
-            self.active.append(token)
-            self._pump_one(now, session)
+            self.sending.append(token)
+            self._send_chunks_of(now, session)
 
-    def _pump_one(self, now: int, session: Session) -> None:
-        """As many chunks as are due and allowed."""
+    def _send_chunks_of(self, now: int, session: Session) -> None:
+        """Sends all due chunks of one session that the budgets allow."""
         sender = session.sender
         while sender is not None:
             number = sender.due(now)
@@ -465,15 +469,15 @@
 
     # ---- leases ----
 
-    def _lease_at_most(self) -> int:
-        """How long a lease may be valid by this replica's clock, counted from its grant."""
+    def _longest_lease(self) -> int:
+        """The longest time, on this replica's clock, for which a lease may be valid after its grant."""
         return int(self.options.lease * (1 + 2 * self.options.drift))
 
     def _grant(self, now: int, session: Session, renew: wire.Renew) -> None:
         age = self.age(now)
         stamp = self.source.version
         if age is not None:
-            session.grants.add(now, stamp, now + self._lease_at_most())
+            session.grants.add(now, stamp, now + self._longest_lease())
         message = wire.Grant(
             session.token,
             renew.nonce,
@@ -485,32 +489,32 @@
         self._send_to(now, session, message)
 
     def _unchanged_since(self, session: Session, shown: int) -> int:
-        """The version shown, where nothing in the scope has changed since; else the store's."""
+        """`shown` if nothing in the scope has changed since that version, otherwise the store's version."""
         stamp = self.source.version
         if session.scope is None or not shown or self.source.snapshot_needed(shown):
             return stamp
         changed = remaining(self.source, session.scope, shown_position(shown))
         return stamp if changed else shown
 
-    def _look_round(self, now: int) -> None:
-        """What is over is forgotten; the fence goes up."""
+    def _scan_sessions(self, now: int) -> None:
+        """Closes sessions that timed out, drops expired leases and advances the fence."""
         options = self.options
         for session in list(self.sessions.values()):
-            limit = options.silence if session.confirmed else options.unconfirmed
+            limit = options.session_timeout if session.confirmed else options.unconfirmed_timeout
             if now - session.heard_at > limit:
                 self._close(now, session)
         self.leases = [lease for lease in self.leases if lease.until > now]
-        self._raise_fence(now)
+        self._advance_fence(now)
 
-    def _raise_fence(self, now: int) -> None:
-        if now < self.blind_until:
+    def _advance_fence(self, now: int) -> None:
+        if now < self.fence_blocked_until:
             return
-        held = [lease.shown for lease in self.leases]
+        shown_versions = [lease.shown for lease in self.leases]
         for session in self.sessions.values():
-            held += [one.shown for one in session.grants.leases(now, session.name, session.shown)]
-        self.fenced = max(self.fenced, min([self.source.version, *held]))
+            shown_versions += [one.shown for one in session.grants.leases(now, session.name, session.shown)]
+        self.fenced = max(self.fenced, min([self.source.version, *shown_versions]))
 
-    # ---- questions of others' subscribers ----
+    # ---- audit requests from subscribers of other replicas ----
 
     def _on_audit(self, now: int, audit: wire.Audit, address: Address) -> None:
         age = self.age(now)
--- a/dykeshift/configuration/state.py
+++ b/dykeshift/configuration/state.py
@@ -1,4 +1,4 @@
-"""What a subscriber acts on: the resources of its scope at one version, replaced as a whole only."""
+"""The state that a subscriber acts on: the resources of its scope at one version, updated atomically."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class DigestError(Exception):
-    """The resources do not add up to the digest that was said of them; nothing has changed."""
+    """The resources do not match the expected digest; the state is unchanged."""
 
 
 class SubscriberState:
-    """The resources of `scope` as of `version` of the history `lineage`; version 0: nothing is known."""
+    """The resources of `scope` at `version` of the history `lineage`; version 0: no state yet."""
 
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
@@ -24,33 +24,34 @@
         self.index = ResourceIndex(most_tombstones=0)
 
     def get(self, key: Key) -> Resource | None:
-        """The live resource of a key."""
+        """The live resource with this key, or None."""
         return self.index.get(key)
 
     def resources(self) -> tuple[Resource, ...]:
-        """All of them, in the order of versions."""
+        """All resources, ordered by version."""
         return self.index.scoped(Scope.everything())
 
     def digest(self, scope: Scope | None = None) -> int:
-        """Of all of it, or of a part of its scope; 64 bits, as it is sent."""
+        """Digest of all resources, or of those in a narrower scope; 64 bits, as in datagrams."""
         return self.index.digest(scope or self.scope) & DIGEST_MASK
 
     def advance(self, version: int) -> None:
-        """Nothing has changed in the scope up to this version."""
+        """Moves to a newer version in which nothing in the scope has changed."""
         self.version = max(self.version, version)
 
     def change(self, version: int, digest: int, resources: Iterable[Resource]) -> None:
-        """On top of what is held. DigestError where that is not what `digest` says: nothing has changed."""
+        """Applies changes on top of the present state. Raises DigestError and rolls back if `digest`
+        differs."""
         changed = sorted(resources, key=lambda resource: resource.version)
         before = {resource.key: self.index.get(resource.key) for resource in changed}
         for resource in changed:
             self.index.write(resource)
         if self.digest() != digest:
-            self._take_back(before)
+            self._roll_back(before)
             raise DigestError
         self.version = version
 
-    def _take_back(self, before: dict[Key, Resource | None]) -> None:
+    def _roll_back(self, before: dict[Key, Resource | None]) -> None:
         kept = {resource.key: resource for resource in self.resources()}
         for key, resource in before.items():
             if resource is None:
@@ -60,7 +61,7 @@
         self.index = _index_of(kept.values())
 
     def replace(self, lineage: int, version: int, digest: int, resources: Iterable[Resource]) -> None:
-        """Hold these and nothing else. DigestError where that is not what `digest` says."""
+        """Replaces the whole state. Raises DigestError, with the state unchanged, if `digest` differs."""
         fresh = _index_of(resource for resource in resources if resource.live)
         if fresh.digest(self.scope) & DIGEST_MASK != digest:
             raise DigestError
--- a/dykeshift/configuration/subscriber.py
+++ b/dykeshift/configuration/subscriber.py
@@ -1,25 +1,27 @@
-"""A subscriber: it holds its scope of the configuration, by one replica at a time.
+"""A subscriber: keeps its scope of the configuration up to date through one replica at a time.
 
 Theory of operation.
 
     IDLE --at `retry_at`--> GREETING --WELCOME--> SCOPING (the replica lacks the scope) --WELCOME--> SERVED
-    GREETING, SCOPING --WAIT--> IDLE (comes back to the same replica when told, give or take its jitter)
-    any --left--> IDLE (another replica, at once or after a time)
-
-Parts that arrive are staged (catch_up.py); a last one is shown as a whole, if it adds up to the digest that
-it carries; only then its last chunk is acknowledged. Each `renew` it asks for a lease (lease.py).
-
-It leaves a replica that does not answer, that gives no lease for as long as one lasts while nothing arrives,
-whose parts do not add up, that does not reach the version that another replica has, or that two others
-contradict at the version shown (audit.py). It keeps what it shows and its lease; only what was found to be
-false loses its lease at once, and is replaced from nothing.
-
-Promises:
- 1. What is shown is the scope of one version of the store, whole; it never goes back, but to another history
-    and without a lease.
- 2. `lease_left` is 0 unless all that was committed a lease ago is shown.
+    GREETING, SCOPING --WAIT--> IDLE (retries the same replica after the stated time, with jitter)
+    any --leave--> IDLE (another replica, at once or after a delay)
+
+Received parts are staged (catch_up.py). When the last one has arrived, the version is applied as a whole,
+if it matches the digest that the part carries; only then is its last chunk acknowledged. Every
+`renew_interval` the subscriber requests a lease (lease.py).
+
+It leaves a replica that does not answer, that makes no progress (neither a lease nor a part) for the length
+of a lease, whose parts do not match their digest, that does not reach a version that another replica
+reports, or that two others contradict at the shown version (audit.py). It keeps the shown state and its
+lease; only state that was found to be wrong loses its lease at once and is fetched again from the
+beginning.
+
+Guarantees:
+ 1. The shown state is the scope at one version of the store, complete. The version never decreases, except
+    on a change to another history, which needs that no lease is held.
+ 2. `lease_left` is 0 unless everything that was committed a lease ago is shown.
  3. What is acknowledged as shown is shown.
- 4. Bytes a second never exceed the budget.
+ 4. Bytes per second never exceed the budget.
 """
 
 from __future__ import annotations
@@ -31,7 +33,7 @@
 
 from dykeshift.configuration import wire
 from dykeshift.configuration.admission import TokenBucket
-from dykeshift.configuration.audit import VOTES, Auditor
+from dykeshift.configuration.audit import MIN_VOTES, Auditor
 from dykeshift.configuration.catch_up import Part, PartError, Staging, pack_position, unpack_part
 from dykeshift.configuration.choice import Place, ReplicaChoice
 from dykeshift.configuration.lease import SubscriberLease
@@ -52,28 +54,30 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscriberOptions:
-    """Times in nanoseconds; budgets in bytes a second, the burst in bytes at once. `lease`, `drift` as the
-    replicas have them."""
+    """Times in nanoseconds, the budget in bytes per second, the burst in bytes. `lease` and `drift` must
+    equal those of the replicas."""
 
     lease: int = 5 * SECOND
     drift: float = 0.01
-    renew: int = SECOND  # between two questions for a lease
-    renew_again: int = 300 * MS  # after one without an answer
-    hello_again: int = 400 * MS  # after the first HELLO without an answer; doubles
-    hellos: int = 4  # to one replica, before another is asked
-    silence: int = 3 * SECOND  # of a replica, after which it is left
-    ack_delay: int = 60 * MS  # for which an acknowledgement waits for more chunks
-    ack_chunks: int = 4  # that one acknowledgement waits for at most
-    audit: int = 10 * SECOND  # between two second opinions
-    patience: int = 4 * SECOND  # within which a replica has to reach what another has
+    renew_interval: int = SECOND  # between two lease requests
+    renew_retry: int = 300 * MS  # after a lease request without an answer
+    hello_retry: int = 400 * MS  # after the first HELLO without an answer; doubles with each further one
+    max_hellos: int = 4  # sent to one replica before another is tried
+    replica_timeout: int = 3 * SECOND  # without a datagram from the replica, after which it is left
+    ack_delay: int = 60 * MS  # longest delay of an acknowledgement that waits for more chunks
+    ack_chunks: int = 4  # chunks after which an acknowledgement is sent at once
+    audit_interval: int = 10 * SECOND  # between two audits
+    claim_timeout: int = (
+        4 * SECOND
+    )  # within which the replica has to reach a version that another one reported
     bytes: int = 1_000
     burst: int = 1_000
-    most_staged: int = 24 << 20  # bytes
-    first_hello: int = 500 * MS  # within which the first HELLO goes, drawn
+    max_staged: int = 24 << 20  # bytes
+    start_window: int = 500 * MS  # the first HELLO is sent at a random time within it
 
 
 class Phase(Enum):
-    """Where the subscriber stands with a replica."""
+    """State of the session with a replica."""
 
     IDLE = "idle"
     GREETING = "greeting"
@@ -83,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """A version is shown. `changed`: the keys that it wrote; None: everything was replaced."""
+    """A version was applied. `changed`: the keys that it wrote; None where everything was replaced."""
 
     version: int
     changed: tuple[Key, ...] | None
@@ -91,24 +95,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseChanged:
-    """The lease began (`held`) or ended: the subscriber is degraded."""
+    """The lease began (`held`) or ended; without a lease the subscriber is degraded."""
 
     held: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
-    """A replica was left, and why."""
+class ReplicaLeft:
+    """The subscriber left a replica; `reason` says why."""
 
     address: Address
     reason: str
 
 
-Event = Applied | LeaseChanged | Left
+Event = Applied | LeaseChanged | ReplicaLeft
 
 
 class Subscriber:
-    """Holds one scope of the configuration."""
+    """Keeps one scope of the configuration up to date."""
 
     def __init__(
         self,
@@ -122,13 +126,14 @@
         rng: Random,
         state: SubscriberState | None = None,
     ) -> None:
-        """`birth`: Unix milliseconds of the process's start. `state`: what an earlier life has left."""
+        """`birth`: start of the process in Unix milliseconds. `state`: state retained from before a
+        restart."""
         self.options, self.seal, self.name, self.birth, self.rng = options, seal, name, birth, rng
         self.scope, self.scope_bytes = scope, pack_scope(scope)
         self.scope_digest = scope_digest(self.scope_bytes)
         self.state = state if state is not None else SubscriberState(scope)
-        self.staging = Staging(scope, self.state.version, options.most_staged)
-        self.staged_lineage = self.state.lineage  # the history that what is staged belongs to
+        self.staging = Staging(scope, self.state.version, options.max_staged)
+        self.staged_lineage = self.state.lineage  # the history that the staged parts belong to
         self.lease = SubscriberLease(options.lease, options.drift)
         self.choice = ReplicaChoice(replicas, region, rng)
         self.auditor = Auditor(rng)
@@ -139,21 +144,23 @@
         self.next_at = 0
         self.attempt = 0
         self.audit_at = 0
-        self.held = False  # the lease, as was last told
-        self._rest()
+        self.lease_held = False  # whether a lease was held at the last LeaseChanged event
+        self._reset_session()
         self.retry_at = 0
 
-    def _rest(self) -> None:
-        """No replica."""
+    def _reset_session(self) -> None:
+        """Clears all state of the session; no replica is in use."""
         self.phase = Phase.IDLE
         self.address: Address | None = None
-        self.again: Address | None = None  # the replica that said when to come back
+        self.return_to: Address | None = (
+            None  # the replica to retry: it asked to wait, or had lost the session
+        )
         self.number = self.token = self.lineage = 0
-        self.hellos = 0
-        self.send_at = 0  # the next HELLO or SCOPE or RENEW
+        self.hellos_sent = 0
+        self.send_at = 0  # when the next HELLO, SCOPE or RENEW is due
         self.heard_at = 0
-        self.progress_at = 0  # of a lease, or of a part
-        self.stamp = 0  # the latest version that this replica said it has
+        self.progress_at = 0  # the last renewed lease, received chunk in sequence, or applied part
+        self.stamp = 0  # the newest version that this replica has reported
         self.scope_offset = 0
         self.receiver = Receiver()
         self.ack_at: int | None = None
@@ -162,23 +169,24 @@
     # ---- what the host calls ----
 
     def start(self, now: int) -> Out:
-        """Begin; the first HELLO goes within a drawn time, so that those who start at once do not meet."""
-        self.retry_at = now + int(self.rng.random() * self.options.first_hello)
-        self.audit_at = now + self._jittered(self.options.audit)
+        """Starts; the first HELLO is sent after a random delay, so that simultaneous starts are spread
+        out."""
+        self.retry_at = now + int(self.rng.random() * self.options.start_window)
+        self.audit_at = now + self._jittered(self.options.audit_interval)
         return self.on_timer(now)
 
     def on_timer(self, now: int) -> Out:
-        """To be called at `next_at` or later."""
+        """Called by the host at `next_at` or later."""
         if self.phase is Phase.IDLE:
             if now >= self.retry_at:
-                self._greet(now)
-        elif self._must_leave(now) is None:
-            self._speak(now)
-        self._audit(now)
-        return self._done(now)
+                self._start_session(now)
+        elif self._leave_if_needed(now) is None:
+            self._send_due(now)
+        self._audit_if_due(now)
+        return self._finish_step(now)
 
     def on_datagram(self, now: int, data: bytes, address: Address) -> Out:
-        """Whatever arrived on the port."""
+        """Handles one datagram that arrived on the port."""
         try:
             message = wire.decode(data, self.seal)
         except Bad as error:
@@ -189,53 +197,53 @@
         elif address != self.address:
             self._drop("address")
         elif isinstance(message, wire.Welcome | wire.Wait):
-            self._on_greeted(now, message)
+            self._on_hello_reply(now, message)
         elif message.session != self.token or not self.token:
             self._drop("session")
         else:
             self._on_session(now, message)
-        return self._done(now)
+        return self._finish_step(now)
 
     def end(self, now: int) -> Out:
-        """The process ends: the replica need not wait for it."""
+        """The process ends: tells the replica not to wait for it, and drops the lease."""
         if self.token:
             self._send(now, wire.Bye(self.token, ByeReason.ENDING), self.address)
         self.lease.drop()
-        return self._done(now)
+        return self._finish_step(now)
 
     def lease_left(self, now: int) -> int:
-        """For how many nanoseconds what is shown may be acted on in full; 0: the subscriber is degraded."""
+        """For how many nanoseconds the shown state may be acted on without restriction; 0: degraded."""
         return self.lease.left(now)
 
     def adopt(self, lineage: int, version: int, digest: int, resources: Iterable[Resource]) -> None:
-        """Show what was handed over otherwise than by datagrams, before any replica has answered.
+        """Applies state that was obtained by other means than datagrams, before any replica has answered.
 
-        DigestError where the resources do not add up.
+        Raises DigestError where the resources do not match the digest.
         """
         self.state.replace(lineage, version, digest, resources)
         self.staged_lineage = lineage
         self.staging.reset(version)
 
     def take_events(self) -> list[Event]:
-        """What has happened, in order, each once."""
+        """Returns the events since the last call, in order."""
         events, self.events = self.events, []
         return events
 
     # ---- sending ----
 
-    def _done(self, now: int) -> Out:
+    def _finish_step(self, now: int) -> Out:
         held = self.lease.left(now) > 0
-        if held != self.held:
-            self.held = held
+        if held != self.lease_held:
+            self.lease_held = held
             self.events.append(LeaseChanged(held))
-        self.next_at = self._next(now)
+        self.next_at = self._next_deadline(now)
         out, self.out = self.out, []
         return out
 
-    def _next(self, now: int) -> int:
+    def _next_deadline(self, now: int) -> int:
         times = [self.audit_at, self.retry_at if self.phase is Phase.IDLE else self.send_at]
         if self.phase is not Phase.IDLE:
-            times.append(self.heard_at + self.options.silence)
+            times.append(self.heard_at + self.options.replica_timeout)
         if self.ack_at is not None:
             times.append(self.ack_at)
         left = self.lease.left(now)
@@ -250,7 +258,7 @@
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
     def _send(self, now: int, message: Message, address: Address | None) -> bool:
-        """Within the budget, or not at all."""
+        """Sends within the budget; otherwise drops the message and returns False."""
         if address is None:
             return False
         data = wire.encode(message, self.seal)
@@ -263,27 +271,27 @@
 
     @property
     def shown(self) -> int:
-        """The version that is shown of the history of this session's replica; 0: of another one."""
+        """The shown version, if it belongs to the history of this session's replica; otherwise 0."""
         return self.state.version if self.state.lineage == self.lineage else 0
 
-    # ---- beginning and leaving ----
+    # ---- session setup and end ----
 
-    def _greet(self, now: int) -> None:
-        if self.again is not None:
-            address = self.again
+    def _start_session(self, now: int) -> None:
+        if self.return_to is not None:
+            address = self.return_to
         else:
             address, when = self.choice.next(now)
             if when > now:
                 self.retry_at = when
                 return
-        self._rest()
+        self._reset_session()
         self.phase, self.address = Phase.GREETING, address
         self.number = self.rng.getrandbits(64) or 1
         self.attempt += 1
         self.heard_at = self.progress_at = now
-        self._hello(now)
+        self._send_hello(now)
 
-    def _hello(self, now: int) -> None:
+    def _send_hello(self, now: int) -> None:
         message = wire.Hello(
             session=self.number,
             birth=self.birth,
@@ -296,11 +304,11 @@
             cursor=pack_position(self.staging.position),
         )
         self._send(now, message, self.address)
-        self.send_at = now + self._jittered(self.options.hello_again << self.hellos)
-        self.hellos += 1
+        self.send_at = now + self._jittered(self.options.hello_retry << self.hellos_sent)
+        self.hellos_sent += 1
 
-    def _must_leave(self, now: int) -> ByeReason | None:
-        """Leave the replica where there is a reason, and say which."""
+    def _leave_if_needed(self, now: int) -> ByeReason | None:
+        """Leaves the replica if there is a reason, and returns it."""
         reason = self._reason_to_leave(now)
         if reason is not None:
             self._leave(now, reason)
@@ -309,48 +317,49 @@
     def _reason_to_leave(self, now: int) -> ByeReason | None:
         options = self.options
         if self.phase is Phase.GREETING:
-            over = self.hellos >= options.hellos and now >= self.send_at
+            over = self.hellos_sent >= options.max_hellos and now >= self.send_at
             return ByeReason.SILENT if over else None
-        if now - self.heard_at >= options.silence:
+        if now - self.heard_at >= options.replica_timeout:
             return ByeReason.SILENT
         if now - self.progress_at >= options.lease:
             return ByeReason.LAGGING
-        claimed = self.auditor.claimed
+        claimed = self.auditor.claimed_version
         if claimed > max(self.stamp, self.state.version):
-            return ByeReason.LAGGING if now - self.auditor.claimed_at >= options.patience else None
+            return ByeReason.LAGGING if now - self.auditor.claimed_at >= options.claim_timeout else None
         return None
 
     def _leave(self, now: int, reason: ByeReason) -> None:
-        """Go to another replica; what is shown, what is staged and the lease stay."""
+        """Switches to another replica; the shown state, the staged parts and the lease are kept."""
         address = self.address
         assert address is not None
         if self.token:
             self._send(now, wire.Bye(self.token, reason), address)
-        self.events.append(Left(address, reason.name.lower()))
+        self.events.append(ReplicaLeft(address, reason.name.lower()))
         if reason in (ByeReason.DIGEST, ByeReason.AUDIT):
-            self.choice.lied(now, address)
+            self.choice.sent_wrong_data(now, address)
         else:
             self.choice.failed(now, address)
-        self._settle_claim(now, address, reason)
-        self._rest()
-        self.retry_at = now + int(self.rng.random() * self.options.first_hello)
+        self._resolve_claim(now, address, reason)
+        self._reset_session()
+        self.retry_at = now + int(self.rng.random() * self.options.start_window)
 
-    def _settle_claim(self, now: int, address: Address, reason: ByeReason) -> None:
-        """Whoever said that it has more is asked next; who could not show it has said what is not so."""
+    def _resolve_claim(self, now: int, address: Address, reason: ByeReason) -> None:
+        """Tries the replica that claimed a newer version next; if it could not deliver it, its claim was
+        false."""
         auditor = self.auditor
-        if auditor.claimed_by is None or auditor.claimed <= self.state.version:
-            auditor.drop_claim()
+        if auditor.claimed_by is None or auditor.claimed_version <= self.state.version:
+            auditor.clear_claim()
         elif auditor.claimed_by == address:
             if reason is ByeReason.LAGGING:
-                self.choice.lied(now, address)
-            auditor.drop_claim()
+                self.choice.sent_wrong_data(now, address)
+            auditor.clear_claim()
         elif reason is ByeReason.LAGGING:
             self.choice.prefer(auditor.claimed_by)
             auditor.claimed_at = now
 
-    # ---- what the replica says to a HELLO ----
+    # ---- replies to HELLO ----
 
-    def _on_greeted(self, now: int, message: wire.Welcome | wire.Wait) -> None:
+    def _on_hello_reply(self, now: int, message: wire.Welcome | wire.Wait) -> None:
         if message.session != self.number or self.phase not in (Phase.GREETING, Phase.SCOPING):
             self._drop("session")
             return
@@ -358,7 +367,7 @@
         if isinstance(message, wire.Wait):
             self._on_wait(now, message)
         elif self.state.lineage not in (0, message.lineage) and self.lease.left(now):
-            self._leave(now, ByeReason.LAGGING)  # no other history while this one's lease holds
+            self._leave(now, ByeReason.LAGGING)  # no change of history while a lease of this one is held
         else:
             self._on_welcome(now, message)
 
@@ -366,16 +375,16 @@
         address = self.address
         assert address is not None
         if wait.reason is WaitReason.BUSY:
-            self._rest()
-            self.again = address
+            self._reset_session()
+            self.return_to = address
             self.retry_at = now + self._jittered(wait.retry_ms * MS)
             return
         self.choice.failed(now, address)
         if self.auditor.claimed_by == address:
-            self.auditor.drop_claim()
-        self.events.append(Left(address, wait.reason.name.lower()))
-        self._rest()
-        self.retry_at = now + int(self.rng.random() * self.options.first_hello)
+            self.auditor.clear_claim()
+        self.events.append(ReplicaLeft(address, wait.reason.name.lower()))
+        self._reset_session()
+        self.retry_at = now + int(self.rng.random() * self.options.start_window)
 
     def _on_welcome(self, now: int, welcome: wire.Welcome) -> None:
         self.lineage = welcome.lineage
@@ -394,30 +403,30 @@
             self.phase = Phase.SERVED
         else:
             self.phase = Phase.SCOPING
-        self._speak_now(now)
+        self._send_next(now)
 
-    # ---- a session ----
+    # ---- established session ----
 
-    def _speak(self, now: int) -> None:
-        """What is due."""
+    def _send_due(self, now: int) -> None:
+        """Sends the acknowledgement and the request that are due."""
         if self.ack_at is not None and now >= self.ack_at:
-            self._ack(now)
+            self._send_ack(now)
         if now >= self.send_at:
             if self.phase is Phase.GREETING:
-                self._hello(now)
+                self._send_hello(now)
             else:
-                self._speak_now(now)
+                self._send_next(now)
 
-    def _speak_now(self, now: int) -> None:
+    def _send_next(self, now: int) -> None:
         if self.phase is Phase.SCOPING:
             chunk = self.scope_bytes[self.scope_offset : self.scope_offset + wire.SCOPE_CHUNK]
             self._send(now, wire.ScopePiece(self.token, self.scope_offset, chunk), self.address)
-            self.send_at = now + self._jittered(self.options.hello_again)
+            self.send_at = now + self._jittered(self.options.hello_retry)
             return
         nonce = self.rng.getrandbits(32) or 1
         if self._send(now, wire.Renew(self.token, nonce, self.shown), self.address):
-            self.lease.ask(now, nonce)
-        self.send_at = now + self._jittered(self.options.renew_again)
+            self.lease.on_request(now, nonce)
+        self.send_at = now + self._jittered(self.options.renew_retry)
 
     def _on_session(self, now: int, message: Message) -> None:
         self.heard_at = now
@@ -427,17 +436,17 @@
             self._on_data(now, message)
         elif isinstance(message, wire.Gone):
             address = self.address
-            self._rest()
-            self.again = address
-            self.retry_at = now + int(self.rng.random() * self.options.first_hello)
+            self._reset_session()
+            self.return_to = address
+            self.retry_at = now + int(self.rng.random() * self.options.start_window)
         else:
             self._drop("kind")
 
     def _on_grant(self, now: int, grant: wire.Grant) -> None:
-        if grant.nonce not in self.lease.asked:
+        if grant.nonce not in self.lease.requested_at:
             self._drop("nonce")
             return
-        self.send_at = now + self._jittered(self.options.renew)
+        self.send_at = now + self._jittered(self.options.renew_interval)
         self.stamp = max(self.stamp, grant.stamp)
         if self.shown and grant.unchanged_since == self.shown < grant.stamp and not self.staging.resources:
             self._advance(now, grant.stamp)
@@ -462,15 +471,15 @@
         self.unacknowledged += 1
         whole = self.receiver.whole
         if whole is not None:
-            if not self._take(now, whole):
+            if not self._accept_part(now, whole):
                 return
             self.receiver.finish()
         if whole is not None or self.receiver.finished or self.unacknowledged >= self.options.ack_chunks:
-            self._ack(now)
+            self._send_ack(now)
         elif self.ack_at is None:
             self.ack_at = now + self.options.ack_delay
 
-    def _ack(self, now: int) -> None:
+    def _send_ack(self, now: int) -> None:
         receiver = self.receiver
         message = wire.Ack(self.token, receiver.number, receiver.following, receiver.ahead_bits, self.shown)
         if self._send(now, message, self.address):
@@ -478,12 +487,13 @@
         else:
             self.ack_at = now + self.options.ack_delay
 
-    def _take(self, now: int, whole: bytes) -> bool:
-        """A whole part; whether it was taken. Who sent one that is not as it says is left."""
+    def _accept_part(self, now: int, whole: bytes) -> bool:
+        """Stages a complete part and applies the last one. Leaves the replica and returns False if it is
+        invalid."""
         try:
             part = unpack_part(whole)
             if self.staging.take(part):
-                self._show(now, part)
+                self._apply_staged(now, part)
         except (PartError, DigestError):
             self.staging.reset(self.shown)
             self._leave(now, ByeReason.DIGEST)
@@ -491,12 +501,12 @@
         self.progress_at = now
         return True
 
-    def _show(self, now: int, part: Part) -> None:
-        """All of it at once."""
+    def _apply_staged(self, now: int, part: Part) -> None:
+        """Applies all staged parts at once."""
         staged = self.staging
         if staged.position.fresh:
             if self.shown and part.target < self.shown:
-                raise PartError("it is older than what is shown")
+                raise PartError("snapshot is older than the shown version")
             self.state.replace(self.lineage, part.target, part.digest, staged.resources.values())
             self.events.append(Applied(part.target, None))
         elif part.target >= self.shown:
@@ -505,55 +515,60 @@
         staged.reset(self.state.version)
         self.lease.on_shown(self.state.version)
 
-    # ---- second opinions ----
+    # ---- audits ----
 
-    def _audit(self, now: int) -> None:
+    def _audit_if_due(self, now: int) -> None:
         if now < self.audit_at:
             return
-        self.audit_at = now + self._jittered(self.options.audit)
+        self.audit_at = now + self._jittered(self.options.audit_interval)
         if self.phase is Phase.SERVED:
-            self._ask_other(now, self.choice.other(self.address))
+            self._send_audit(now, self.choice.random_other(self.address))
 
-    def _ask_other(self, now: int, address: Address | None) -> None:
+    def _send_audit(self, now: int, address: Address | None) -> None:
         if address is None:
             return
-        number, scope = self.auditor.ask(now, address, self.auditor.draw_scope(self.scope))
+        number, scope = self.auditor.start_query(now, address, self.auditor.draw_scope(self.scope))
         self._send(now, wire.Audit(number, scope), address)
 
     def _on_audited(self, now: int, answer: wire.Audited, address: Address) -> None:
-        question = self.auditor.take(answer, address)
-        if question is None or self.phase is not Phase.SERVED or answer.lineage != self.lineage:
+        query = self.auditor.match_answer(answer, address)
+        if query is None or self.phase is not Phase.SERVED or answer.lineage != self.lineage:
             self._drop("audit")
             return
         if answer.version > max(self.stamp, self.state.version):
-            self.auditor.note_claim(now, answer.version, address)
+            self.auditor.record_claim(now, answer.version, address)
         if answer.version != self.shown:
             return
-        same = self.state.digest(question.scope) == answer.digest
-        (self.auditor.agree if same else self.auditor.contradict).add(address)
-        self._weigh(now, address)
+        same = self.state.digest(query.scope) == answer.digest
+        (self.auditor.agreeing if same else self.auditor.contradicting).add(address)
+        self._count_votes(now, address)
+
+    def _count_votes(self, now: int, asked: Address) -> None:
+        """Decides by votes: `MIN_VOTES` contradicting replicas prove the shown state wrong, as many
+        agreeing ones right.
 
-    def _weigh(self, now: int, asked: Address) -> None:
-        """Whether who contradicts is believed: two of them, or two who do not."""
+        Until then, further replicas are asked.
+        """
         auditor = self.auditor
-        if not auditor.contradict:
-            auditor.settle()
+        if not auditor.contradicting:
+            auditor.reset_votes()
             return
-        if len(auditor.contradict) >= VOTES:
-            auditor.settle()
-            self._disbelieve(now)
-        elif len(auditor.agree) >= VOTES:
-            for liar in auditor.contradict:
-                self.choice.lied(now, liar)
-            auditor.settle()
+        if len(auditor.contradicting) >= MIN_VOTES:
+            auditor.reset_votes()
+            self._discard_state(now)
+        elif len(auditor.agreeing) >= MIN_VOTES:
+            for other in auditor.contradicting:
+                self.choice.sent_wrong_data(now, other)
+            auditor.reset_votes()
         else:
-            asked_already = auditor.agree | auditor.contradict
+            asked_already = auditor.agreeing | auditor.contradicting
             left = [a for a in self.choice.order if a != self.address and a not in asked_already]
-            for address in left[:VOTES]:
-                self._ask_other(now, address)
+            for address in left[:MIN_VOTES]:
+                self._send_audit(now, address)
 
-    def _disbelieve(self, now: int) -> None:
-        """What is shown is not what the store has: no lease on it, and all of it anew from another."""
+    def _discard_state(self, now: int) -> None:
+        """The shown state differs from the store: drops the lease and fetches everything again from another
+        replica."""
         self.lease.drop()
         self.staging.reset(0)
         self._leave(now, ByeReason.AUDIT)
--- a/dykeshift/configuration/tier.py
+++ b/dykeshift/configuration/tier.py
@@ -1,8 +1,8 @@
-"""A control tier of nine machines and its subscribers on a virtual clock: what tests, campaigns and
-measurements drive.
+"""A simulated control tier of nine machines and its subscribers on a virtual clock, for tests, randomized
+campaigns and measurements.
 
-The machines have disks that keep what they are given at once; a subscriber's process that dies has lost all.
-The store begins with a drawn configuration, as if read from those disks.
+The machines have disks whose writes are durable at once; a subscriber that crashes loses all its state. The
+store starts with a random configuration, as if read from those disks.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TierOptions:
-    """How large the world is. `services_held`: of each subscriber."""
+    """Size and options of the simulated tier. `services_held`: services in the scope of each subscriber."""
 
     control: int = 9
     voters: int = 5
@@ -57,14 +57,14 @@
     tenants: int = 300
     routes: int = 120
     services_held: int = 4
-    drift: float = 0.005  # by which clocks differ from true time
+    drift: float = 0.005  # largest fraction by which a clock runs fast or slow
     replica: ReplicaOptions = field(default_factory=ReplicaOptions)
     subscriber: SubscriberOptions = field(default_factory=SubscriberOptions)
-    coordinator: CoordinatorOptions | None = None  # None: whoever drives the world leads transactions
+    coordinator: CoordinatorOptions | None = None  # None: the caller leads transactions
 
 
 def draw_configuration(options: TierOptions, rng: Random) -> list[Resource]:
-    """A configuration of the options' size, all of it of the first version."""
+    """A random configuration of the size in the options, all of it at the first version."""
     services = [f"service-{number:03d}" for number in range(options.services)]
     bodies: list[tuple[Key, bytes]] = [
         (
@@ -84,7 +84,7 @@
 
 
 def location_of(number: int) -> Location:
-    """Zones in turn; racks of a few machines each."""
+    """Assigns zones round-robin, and racks of a few machines within each zone."""
     zone = number % ZONES
     region = "east" if zone < ZONES_OF_FIRST_REGION else "west"
     rack = f"rack-{zone}-{number // ZONES // MACHINES_PER_RACK}"
@@ -92,7 +92,7 @@
 
 
 class Tier:
-    """The world: `control` and `subscribers` are its hosts, by number."""
+    """The simulated tier; `control` and `subscribers` are its hosts, by number."""
 
     def __init__(self, seed: object, options: TierOptions | None = None) -> None:
         self.options = options or TierOptions()
@@ -100,7 +100,7 @@
         self.rng = Random(f"tier/{seed}")
         self.seal = Seal("tier")
         self.disks: dict[str, list[bytes]] = {}
-        self.first = draw_configuration(self.options, self.rng)
+        self.initial_resources = draw_configuration(self.options, self.rng)
         self.control = [self._control_host(number) for number in range(self.options.control)]
         self.places = [Place(host.address, host.location.region) for host in self.control]
         self.scopes: dict[str, Scope] = {}
@@ -140,23 +140,23 @@
         return self.network.add(host)
 
     def _write_disks(self) -> None:
-        """What all control machines hold as the world begins: one life that has the first version."""
+        """Writes the initial disks of all control machines: an earlier incarnation with the first version."""
         voters = drawn(self.options.voters, self.options.control)
         births = {number: number + 1 for number in range(self.options.control)}
         seats = tuple(sorted((number, births[number]) for number in voters))
-        state = msgspec.msgpack.encode(State(resources=sorted(self.first, key=lambda r: r.key)))
+        state = msgspec.msgpack.encode(State(resources=sorted(self.initial_resources, key=lambda r: r.key)))
         base = Base(1, 1, 1, FIRST_VERSION, len(voters), seats, (), state)
         for number, host in enumerate(self.control):
-            life = Kept((1, 1, 1), births[number], 1, None, Log(base), (1, 1, 1))
+            kept = Kept((1, 1, 1), births[number], 1, None, Log(base), (1, 1, 1))
             records = [
-                ("me", life.epoch, life.birth),
-                ("heard", life.heard),
+                ("me", kept.epoch, kept.birth),
+                ("heard", kept.heard),
                 ("base", base),
                 ("vote", 1, None),
             ]
             self.disks[host.name] = [pack(record) for record in records]
 
-    def _make_control(self, number: int) -> _DiskedMachine:
+    def _make_control(self, number: int) -> _MachineWithDisk:
         host = self.control[number]
         store = ConfigStore()
         places = {n: other.address for n, other in enumerate(self.control)}
@@ -176,48 +176,48 @@
             Random(self.rng.random()),
             self.options.coordinator,
         )
-        return _DiskedMachine(machine, self.disks[host.name])
+        return _MachineWithDisk(machine, self.disks[host.name])
 
     def _make_subscriber(self, host: Host) -> Subscriber:
         return Subscriber(
             self.options.subscriber,
             self.seal,
             host.name,
-            EPOCH_MS + self.network.now // MS + host.lives,
+            EPOCH_MS + self.network.now // MS + host.starts,
             self.scopes[host.name],
             self.places,
             host.location.region,
             Random(self.rng.random()),
         )
 
-    # ---- driving ----
+    # ---- operation ----
 
     def start_control(self, seconds: float = 5.0) -> None:
-        """All control machines; until one leads and all know how fresh they are."""
+        """Starts all control machines and waits until each knows the age of its store."""
         for host in self.control:
             self.network.start(host)
         self.network.run(seconds, self.control_ready)
 
     def control_ready(self) -> bool:
-        """Whether every control machine that runs could grant leases."""
+        """Whether every running control machine could grant leases."""
         return all(
             host.core.replica.age(self.network.clock(host)) is not None for host in self.control if host.up
         )
 
     def start_subscribers(self) -> None:
-        """All at the same instant."""
+        """Starts all subscribers at the same instant."""
         for host in self.subscribers:
             self.network.start(host)
 
     def leader(self) -> Host | None:
-        """Of the consensus, among those that run; of several the one of the latest term."""
+        """The running leader of the consensus; with several, the one of the latest term."""
         leading = [h for h in self.control if h.up and h.core.machine.core.voter.role is Role.LEADER]
         if not leading:
             return None
         return max(leading, key=lambda host: int(host.core.machine.core.voter.term))
 
     def propose(self, body: bytes, host: Host | None = None, wait: float = 3.0) -> bool:
-        """An entry for the log, at the leader or another machine; whether there was somebody to ask."""
+        """Proposes a log entry at the leader or at `host`; returns False if that does not run."""
         target = host or self.leader()
         if target is None or not target.up:
             return False
@@ -228,22 +228,22 @@
         return True
 
     def change(self, puts: tuple[Put, ...] = (), deletes: tuple[Key, ...] = ()) -> bool:
-        """A transaction, proposed at the leader."""
+        """Proposes a transaction at the leader."""
         self.next_ident += 1
         return self.propose(encode_entry(Transaction(self.next_ident, "test", puts, deletes)))
 
     def change_tenant(self, number: int, service: str, share: float) -> bool:
-        """A free change of one tenant."""
+        """Proposes an unguarded change of one tenant."""
         body = encode_body(Tenant((service,), share))
         return self.change((Put(Key(Kind.TENANT, f"tenant-{number:06d}"), body),))
 
     def newest(self) -> ConfigStore:
-        """The store of the control machine that is furthest."""
+        """The store with the newest version among the control machines."""
         stores: list[ConfigStore] = [host.core.machine.store for host in self.control if host.alive]
         return max(stores, key=lambda store: store.version)
 
     def in_force(self, version: int) -> bool:
-        """Whether every subscriber that runs shows this version or a later one, and holds a lease."""
+        """Whether every running subscriber shows this version or a newer one, and holds a lease."""
         return all(
             host.core.state.version >= version and host.core.lease_left(self.network.clock(host)) > 0
             for host in self.subscribers
@@ -251,12 +251,12 @@
         )
 
     def settled(self) -> bool:
-        """Whether every subscriber shows the newest version and holds a lease."""
+        """Whether every running subscriber shows the newest version and holds a lease."""
         return self.in_force(self.newest().version)
 
 
-class _DiskedMachine:
-    """A control machine whose records are kept at once."""
+class _MachineWithDisk:
+    """A control machine whose records are durable at once."""
 
     def __init__(self, machine: ControlMachine, disk: list[bytes]) -> None:
         self.machine, self.disk = machine, disk
@@ -264,22 +264,22 @@
         self.next_at = 0
 
     def start(self, now: int) -> Out:
-        """Begin."""
-        return self._keep(now, self.machine.start(now))
+        """Starts the machine."""
+        return self._persist(now, self.machine.start(now))
 
     def on_timer(self, now: int) -> Out:
-        """To be called at `next_at` or later."""
-        return self._keep(now, self.machine.on_timer(now))
+        """Called at `next_at` or later."""
+        return self._persist(now, self.machine.on_timer(now))
 
     def on_datagram(self, now: int, data: bytes, address: tuple[str, int]) -> Out:
-        """Whatever arrived."""
-        return self._keep(now, self.machine.on_datagram(now, data, address))
+        """Handles one datagram."""
+        return self._persist(now, self.machine.on_datagram(now, data, address))
 
     def after(self, now: int, out: Out) -> Out:
-        """After a call of the consensus from outside."""
-        return self._keep(now, self.machine.after(now, out))
+        """Called after the simulation called the consensus core directly."""
+        return self._persist(now, self.machine.after(now, out))
 
-    def _keep(self, now: int, out: Out) -> Out:
+    def _persist(self, now: int, out: Out) -> Out:
         core = self.machine.core
         while records := core.take_records():
             self.disk += [pack(record) for record in records]
--- a/dykeshift/configuration/virtual.py
+++ b/dykeshift/configuration/virtual.py
@@ -1,9 +1,9 @@
-"""Control machines and subscribers on one virtual clock: datagrams that take time, are lost, doubled or cut
-off; processes that die, stand still, come back; racks, zones and regions that fail as a whole.
+"""A simulated network and its hosts on one virtual clock, with fault injection: datagrams are delayed, lost,
+duplicated or partitioned off; processes crash, pause and restart; racks, zones and regions fail as a whole.
 
-Theory of operation. A queue of events by time. Each host has a clock of its own that runs a little faster or
-slower. Whatever a core returns is sent through the network at once; after every step of a host, `after_step`
-is called, where a checker holds the promises against the truth (checker.py).
+Theory of operation. Events are executed from a queue in the order of time. Each host has its own clock,
+which runs slightly fast or slow. Datagrams that a core returns are sent at once. `after_step` is called
+after every step of a host; a checker uses it to verify the guarantees (checker.py).
 """
 
 from __future__ import annotations
@@ -20,28 +20,28 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-EPOCH_MS = 1_750_000_000_000  # Unix milliseconds at which worlds begin
-MOST_BACKLOG = 200  # datagrams that wait for a process that stands still
+EPOCH_MS = 1_750_000_000_000  # Unix milliseconds at which simulations start
+MAX_BACKLOG = 200  # datagrams queued for a paused process
 
 
 class Core(Protocol):
-    """What a host runs."""
+    """A sans-I/O core that a host runs."""
 
     next_at: int
 
     def start(self, now: int) -> Out:
-        """Begin."""
+        """Starts the core."""
 
     def on_timer(self, now: int) -> Out:
-        """To be called at `next_at` or later."""
+        """Called at `next_at` or later."""
 
     def on_datagram(self, now: int, data: bytes, address: Address) -> Out:
-        """Whatever arrived."""
+        """Handles one datagram."""
 
 
 @dataclass(frozen=True, slots=True)
 class Location:
-    """Where a host stands; each part names a group of hosts that fail together."""
+    """Where a host is placed; each field names a group of hosts that can fail together."""
 
     region: str
     zone: str
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class Cost:
-    """What a host has sent, received and used so far."""
+    """Traffic and CPU time of a host so far."""
 
     sent_bytes: int = 0
     sent_datagrams: int = 0
@@ -62,40 +62,40 @@
 
 @dataclass(eq=False)
 class Host:
-    """One process's place, through all its lives."""
+    """A simulated host that runs one process, across restarts."""
 
     name: str
     address: Address
     location: Location
     make: Callable[[Host], Any]
-    rate: float = 1.0  # of its clock
+    rate: float = 1.0  # speed of its clock relative to true time
     offset: int = 0
     core: Any = None
     alive: bool = False
     stopped: bool = False
-    lives: int = 0
+    starts: int = 0
     timer: int = 0  # the number of its pending timer
     cost: Cost = field(default_factory=Cost)
     backlog: list[tuple[bytes, Address]] = field(default_factory=list)
 
     @property
     def up(self) -> bool:
-        """Whether it runs."""
+        """Whether the process runs and is not paused."""
         return self.alive and not self.stopped
 
 
 @dataclass
 class Conditions:
-    """Of the network, for every datagram."""
+    """Faults of the network that apply to every datagram, as probabilities."""
 
     loss: float = 0.0
-    double: float = 0.0
-    late: float = 0.0  # the share that takes up to `late_by` more
-    late_by: int = 2 * SECOND
+    duplicate_rate: float = 0.0
+    delay_rate: float = 0.0  # share of datagrams that take up to `max_extra_delay` longer
+    max_extra_delay: int = 2 * SECOND
 
 
 class Network:
-    """Hosts, time and the network between them."""
+    """The virtual clock, the hosts and the network between them."""
 
     def __init__(self, seed: object) -> None:
         self.rng = Random(f"configuration/{seed}")
@@ -104,65 +104,66 @@
         self.counter = 0
         self.hosts: dict[Address, Host] = {}
         self.conditions = Conditions()
-        self.cuts: set[tuple[str, str]] = set()  # groups or hosts by name: from, to
+        self.cuts: set[tuple[str, str]] = set()  # names of hosts or groups: from, to
         self.after_step: Callable[[Host], None] = lambda host: None
         self.on_send: Callable[[Host, Host, bytes], None] = lambda source, target, data: None
 
     # ---- time ----
 
     def at(self, when: int, run: Callable[..., None], *arguments: Any) -> None:
-        """Run at a time, or now if that is over."""
+        """Schedules a call at a time, or now if that has passed."""
         self.counter += 1
         heapq.heappush(self.queue, (max(when, self.now), self.counter, run, arguments))
 
     def after(self, seconds: float, run: Callable[..., None], *arguments: Any) -> None:
-        """Run in so many seconds."""
+        """Schedules a call after a number of seconds."""
         self.at(self.now + int(seconds * SECOND), run, *arguments)
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
-        """Whether `until` came true in that time; looked at ten times a second."""
-        end, look_at = self.now + int(seconds * SECOND), self.now
+        """Runs for the given time, or until `until` is true (checked ten times per second); returns whether
+        it was."""
+        end, check_at = self.now + int(seconds * SECOND), self.now
         while self.queue and self.queue[0][0] <= end:
             self.now, _, run, arguments = heapq.heappop(self.queue)
             run(*arguments)
-            if until is not None and self.now >= look_at:
-                look_at = self.now + SECOND // 10
+            if until is not None and self.now >= check_at:
+                check_at = self.now + SECOND // 10
                 if until():
                     return True
         self.now = end
         return until is not None and until()
 
     def clock(self, host: Host) -> int:
-        """A host's monotonic clock."""
+        """The present reading of a host's monotonic clock."""
         return int(self.now * host.rate) + host.offset
 
     # ---- processes ----
 
     def add(self, host: Host) -> Host:
-        """A host that does not run yet."""
+        """Adds a host; it is not started."""
         self.hosts[host.address] = host
         return host
 
     def start(self, host: Host) -> None:
-        """A new life."""
+        """Starts a new process on the host, unless one is alive."""
         if host.alive:
             return
-        host.lives += 1
+        host.starts += 1
         host.alive, host.stopped = True, False
         host.core = host.make(host)
         self._step(host, host.core.start)
 
     def kill(self, host: Host) -> None:
-        """The process is gone, with all that it had in memory."""
+        """Kills the process; its memory is lost."""
         host.alive = host.stopped = False
         host.backlog.clear()
 
     def stop(self, host: Host) -> None:
-        """It stands still; its clock does not."""
+        """Pauses the process; its clock goes on."""
         host.stopped = host.alive
 
     def resume(self, host: Host) -> None:
-        """It goes on; timers or what came meanwhile go first, as it happens."""
+        """Resumes a paused process; by chance its timer or the queued datagrams come first."""
         if not host.alive or not host.stopped:
             return
         host.stopped = False
@@ -174,7 +175,7 @@
         self._on_timer(host, host.timer)
 
     def carry(self, host: Host, out: Out) -> None:
-        """What a host's core returned to somebody who called it from outside."""
+        """Sends what a host's core returned to a call from outside, and sets its timer."""
         for data, address in out:
             self._send(host, data, address)
         host.timer += 1
@@ -196,13 +197,13 @@
     # ---- the network ----
 
     def cut(self, source: str, target: str, both: bool = True) -> None:
-        """Nothing goes from one host or group to the other."""
+        """Drops all datagrams from one host or group to the other."""
         self.cuts.add((source, target))
         if both:
             self.cuts.add((target, source))
 
     def mend(self) -> None:
-        """The network whole and clear, everybody at work."""
+        """Removes all network faults, resumes and starts all hosts."""
         self.cuts.clear()
         self.conditions = Conditions()
         for host in list(self.hosts.values()):
@@ -210,7 +211,7 @@
             self.start(host)
 
     def linked(self, source: Host, target: Host) -> bool:
-        """Whether datagrams go from one to the other."""
+        """Whether no partition separates source and target."""
         if not self.cuts:
             return True
         return not any((a, b) in self.cuts for a in _groups(source) for b in _groups(target))
@@ -229,22 +230,22 @@
         if not self.linked(host, target):
             return
         conditions, draw = self.conditions, self.rng.random
-        for _ in range(1 + (draw() < conditions.double)):
+        for _ in range(1 + (draw() < conditions.duplicate_rate)):
             if draw() >= conditions.loss:
-                late = int(draw() * conditions.late_by) if draw() < conditions.late else 0
+                late = int(draw() * conditions.max_extra_delay) if draw() < conditions.delay_rate else 0
                 near = host.location.region == target.location.region
                 delay = (1 + 3 * draw()) * MS if near else (15 + 15 * draw()) * MS
                 self.at(self.now + int(delay) + late, self.deliver, host.address, target, data)
 
     def deliver(self, source: Address, target: Host, data: bytes) -> None:
-        """A datagram arrives, from whoever has that address."""
+        """A datagram from that address arrives at its target."""
         sender = self.hosts.get(source)
         if not target.alive or sender is not None and not self.linked(sender, target):
             return
         target.cost.received_bytes += len(data)
         target.cost.received_datagrams += 1
         if target.stopped:
-            if len(target.backlog) < MOST_BACKLOG:
+            if len(target.backlog) < MAX_BACKLOG:
                 target.backlog.append((data, source))
         else:
             self._step(target, target.core.on_datagram, data, source)
@@ -256,5 +257,5 @@
 
 
 def up(hosts: Iterable[Host]) -> list[Host]:
-    """Those that run."""
+    """The hosts that run."""
     return [host for host in hosts if host.up]
--- a/tests/configuration/joint_defects.py
+++ b/tests/configuration/joint_defects.py
@@ -56,7 +56,7 @@
     "a majority of fences is enough": patched(Coordinator, "fenced", _majority_of_fences),
     "silent replicas do not count": patched(Coordinator, "fenced", _silent_replicas_do_not_count),
     "fences of another history count": patched(Coordinator, "on_fence", _any_history),
-    "a replica fenced at what it has": patched(Replica, "_raise_fence", _fenced_at_what_it_has),
+    "a replica fenced at what it has": patched(Replica, "_advance_fence", _fenced_at_what_it_has),
     "half a lease waited": patched(CoordinatorOptions, "lease_wait", property(lambda self: self.lease // 2)),
     "waited since the beginning": patched(Coordinator, "look", _waits_since_it_began),
     "never by time": patched(Coordinator, "_joint_is_over", _never_by_time),
--- a/tests/configuration/small_world.py
+++ b/tests/configuration/small_world.py
@@ -94,7 +94,7 @@
         held = scope if scope is not None else Scope(frozenset("ab"))
 
         def make(host: Host) -> Subscriber:
-            birth = EPOCH_MS + self.network.now // MS + host.lives
+            birth = EPOCH_MS + self.network.now // MS + host.starts
             options, rng = self.subscriber_options, Random(self.rng.random())
             return Subscriber(options, SEAL, host.name, birth, held, self.places, "east", rng)
 
--- a/tests/configuration/subscriber_defects.py
+++ b/tests/configuration/subscriber_defects.py
@@ -92,7 +92,7 @@
 def _never_over(self: Replica, now: int) -> None:
     """Sessions stay, whether anybody answers or not."""
     self.leases = [lease for lease in self.leases if lease.until > now]
-    self._raise_fence(now)
+    self._advance_fence(now)
 
 
 def _takes_any_hello(self: Replica, hello: wire.Hello) -> bool:
@@ -112,7 +112,7 @@
 
 
 def _any_nonce(self: Subscriber, now: int, grant: wire.Grant) -> None:
-    self.lease.asked.setdefault(grant.nonce, now)
+    self.lease.requested_at.setdefault(grant.nonce, now)
     _subscriber_on_grant(self, now, grant)
 
 
@@ -120,8 +120,8 @@
 
 
 def _counts_from_the_answer(self: Subscriber, now: int, grant: wire.Grant) -> None:
-    if grant.nonce in self.lease.asked:
-        self.lease.asked[grant.nonce] = now
+    if grant.nonce in self.lease.requested_at:
+        self.lease.requested_at[grant.nonce] = now
     _subscriber_on_grant(self, now, grant)
 
 
@@ -142,7 +142,7 @@
 
 def _sees_at_once(self: Replica, now: int) -> Any:
     out = _start(self, now)
-    self.blind_until = now
+    self.fence_blocked_until = now
     return out
 
 
@@ -172,7 +172,7 @@
 
 def _believes(self: Subscriber, now: int) -> None:
     """What others contradict is shown as before."""
-    self.auditor.settle()
+    self.auditor.reset_votes()
 
 
 def _claims_nothing(self: Any, now: int, version: int, address: Any) -> None:
@@ -185,7 +185,7 @@
     self.lease.fresh_at = held
 
 
-_on_greeted = Subscriber._on_greeted
+_on_greeted = Subscriber._on_hello_reply
 
 
 def _acknowledged_ahead(self: transfer.Sender, following: int, ahead: int) -> None:
@@ -217,16 +217,16 @@
 
 
 DEFECTS: dict[str, Defect] = {
-    "half a version is shown": patched(Subscriber, "_take", _shows_each_part),
+    "half a version is shown": patched(Subscriber, "_accept_part", _shows_each_part),
     "acknowledged before it is shown": patched(Subscriber, "_on_data", _says_more_than_it_shows),
     "a whole part counts as taken": patched(transfer.Receiver, "following", property(_whole_counts_as_taken)),
     "a digest is not looked at": patched(SubscriberState, "change", _no_digest),
     "goes on behind the rest of a version": patched(catch_up, "_is_behind", _skips_the_rest_of_a_version),
     "tombstones are not sent": patched(catch_up, "remaining", _without_tombstones),
     "goes on where tombstones are forgotten": patched(catch_up, "start_of", _forgets_the_floor),
-    "repetitions cost nothing": patched(Replica, "_pump_one", _free_repetitions),
-    "sessions are never over": patched(Replica, "_look_round", _never_over),
-    "an old hello begins a session": patched(Replica, "_is_old", _takes_any_hello),
+    "repetitions cost nothing": patched(Replica, "_send_chunks_of", _free_repetitions),
+    "sessions are never over": patched(Replica, "_scan_sessions", _never_over),
+    "an old hello begins a session": patched(Replica, "_is_stale", _takes_any_hello),
     "a hello alone confirms a session": patched(Replica, "_admit", _confirmed_by_a_hello),
     "a grant counts unasked": patched(Subscriber, "_on_grant", _any_nonce),
     "a lease counts from the answer": patched(Subscriber, "_on_grant", _counts_from_the_answer),
@@ -236,13 +236,13 @@
     "a replica that lags renews leases": patched(control, "freshness_age", _always_fresh),
     "a change is told as none": patched(Replica, "_unchanged_since", _always_unchanged),
     "leases of an earlier life are forgotten": patched(Replica, "start", _sees_at_once),
-    "fenced what only the replica has": patched(Replica, "_raise_fence", _fences_what_it_has),
+    "fenced what only the replica has": patched(Replica, "_advance_fence", _fences_what_it_has),
     "leases of an earlier session are forgotten": patched(Replica, "_close", _forgets_leases),
     "no jitter": patched(Subscriber, "_jittered", _no_jitter),
     "no admission": patched(AdmissionQueue, "request", _admits_all),
-    "two who contradict are not believed": patched(Subscriber, "_disbelieve", _believes),
-    "what another replica has is not asked": patched(Auditor, "note_claim", _claims_nothing),
-    "another history under a lease": patched(Subscriber, "_on_greeted", _takes_any_history),
+    "two who contradict are not believed": patched(Subscriber, "_discard_state", _believes),
+    "what another replica has is not asked": patched(Auditor, "record_claim", _claims_nothing),
+    "another history under a lease": patched(Subscriber, "_on_hello_reply", _takes_any_history),
     "a chunk that arrived ahead never goes again": patched(transfer.Sender, "on_ack", _acknowledged_ahead),
     "a part is taken wherever it begins": patched(Staging, "take", _staged_over),
     "staged parts are forgotten with a replica": patched(Subscriber, "_leave", _begins_again),
--- a/tests/configuration/test_campaign.py
+++ b/tests/configuration/test_campaign.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from dykeshift.configuration.campaign import SMALL, play
+from dykeshift.configuration.campaign import SMALL_TIER, run_seed
 from dykeshift.configuration.checker import Checker
-from dykeshift.configuration.sessions import left_behind
+from dykeshift.configuration.sessions import subscribers_behind
 from dykeshift.configuration.tier import Tier
 
 SEEDS = range(8)
@@ -21,17 +21,17 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_drawn_day_breaks_nothing_and_all_come_back(seed: int) -> None:
-    report = play(seed)
+    report = run_seed(seed)
     assert not report.broken
     assert report.versions > 10 and sum(report.faults.values()) > 5
 
 
 def test_a_day_is_the_same_each_time() -> None:
-    assert play(3) == play(3)
+    assert run_seed(3) == run_seed(3)
 
 
 def test_all_at_once_from_nothing_and_a_change_is_in_force_everywhere() -> None:
-    tier = Tier("calm", SMALL)
+    tier = Tier("calm", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
     tier.start_subscribers()
@@ -45,7 +45,7 @@
 
 
 def test_the_whole_tier_and_all_subscribers_start_again() -> None:
-    tier = Tier("again", SMALL)
+    tier = Tier("again", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
     tier.start_subscribers()
@@ -61,7 +61,7 @@
 
 
 def test_the_regions_apart_the_side_with_the_voters_goes_on_and_the_other_is_degraded() -> None:
-    tier = Tier("apart", SMALL)
+    tier = Tier("apart", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
     tier.start_subscribers()
@@ -83,7 +83,7 @@
 
 
 def test_those_left_behind_are_named_and_nobody_else() -> None:
-    tier = Tier("named", SMALL)
+    tier = Tier("named", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
     tier.start_subscribers()
@@ -99,7 +99,7 @@
     tier.change_tenant(1, "service-003", 3.0)
     tier.network.run(6)
     version = tier.newest().version
-    rolls = [host.core.replica.roll for host in tier.control if host.up]
-    assert left_behind(rolls, version) == sorted((cut.name, dead.name))
+    trackers = [host.core.replica.progress for host in tier.control if host.up]
+    assert subscribers_behind(trackers, version) == sorted((cut.name, dead.name))
     assert moved.core.state.version == version
     assert not checker.broken
--- a/tests/configuration/test_joint_campaign.py
+++ b/tests/configuration/test_joint_campaign.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dykeshift.configuration.joint_campaign import LED, LedDay, play_led
+from dykeshift.configuration.joint_campaign import LED, LedDay, run_led_seed
 from dykeshift.configuration.resources import ClassTerms, Key, Kind, encode_body
 from dykeshift.configuration.transactions import Phase, Put
 from dykeshift.configuration.virtual import SECOND, Host
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_drawn_day_breaks_nothing_and_all_is_decided(seed: int) -> None:
     day = LedDay(seed)
-    report = day.play()
+    report = day.run()
     assert not report.broken
     assert day.asked
 
@@ -86,7 +86,7 @@
         assert phase_at(day, ident) is not Phase.COMMITTED
         day.network.run(0.1)
     assert day.network.run(2 * LEASE, day.decided)
-    committed = day.asked[ident].committed - day.asked[ident].since
+    committed = day.asked[ident].committed_at - day.asked[ident].requested_at
     assert committed / SECOND < LEASE * 1.1 + 1
     assert not day.checker.broken
 
@@ -121,7 +121,7 @@
 
 
 def test_a_day_is_the_same_each_time() -> None:
-    assert play_led(2) == play_led(2)
+    assert run_led_seed(2) == run_led_seed(2)
 
 
 def test_without_a_coordinator_nobody_leads() -> None:
--- a/tests/configuration/test_shell.py
+++ b/tests/configuration/test_shell.py
@@ -59,4 +59,4 @@
     while replica.sessions:
         await asyncio.sleep(0)
     serving.close()
-    assert serving.sent_bytes and serving.sent_datagrams and not serving.failed
+    assert serving.sent_bytes and serving.sent_datagrams and not serving.send_errors
--- a/tests/configuration/test_subscriber_defects.py
+++ b/tests/configuration/test_subscriber_defects.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from dykeshift.configuration.campaign import play
+from dykeshift.configuration.campaign import run_seed
 from tests.configuration import test_catch_up, test_subscribers
 from tests.configuration.subscriber_defects import DEFECTS
 from tests.seeded import defect_tests
@@ -64,5 +64,5 @@
 
 
 test_every_defect_has_its_finder, test_the_defect_is_found = defect_tests(
-    DEFECTS, SEEDS, TESTS, lambda seed: list(play(seed).broken)
+    DEFECTS, SEEDS, TESTS, lambda seed: list(run_seed(seed).broken)
 )
--- a/tests/configuration/test_subscribers.py
+++ b/tests/configuration/test_subscribers.py
@@ -11,7 +11,7 @@
 from dykeshift.configuration.scope import Scope
 from dykeshift.configuration.scope_codec import pack_scope, scope_digest
 from dykeshift.configuration.store import ConfigStore
-from dykeshift.configuration.subscriber import Applied, LeaseChanged, Left, Phase
+from dykeshift.configuration.subscriber import Applied, LeaseChanged, ReplicaLeft, Phase
 from dykeshift.configuration.transactions import Put
 from dykeshift.configuration.virtual import MS, SECOND, Host
 from dykeshift.view.table import Address
@@ -41,7 +41,7 @@
 
 
 def left_for(host: Host) -> list[tuple[Address, str]]:
-    return [(e.address, e.reason) for e in host.core.take_events() if isinstance(e, Left)]
+    return [(e.address, e.reason) for e in host.core.take_events() if isinstance(e, ReplicaLeft)]
 
 
 # ---- steady state ----
@@ -316,7 +316,7 @@
 
     liar.core._on_audit = boast
     world.run(120)
-    assert host.core.choice.records[liar.address].lies
+    assert host.core.choice.records[liar.address].wrong_answers
     world.settle(30)
     leased = 0
     for _ in range(60):
@@ -366,7 +366,7 @@
     truth = world.stores[(number + 1) % 4]
     assert world.network.run(40, lambda: world.shows(host, truth))
     assert (serving.address, "audit") in left_for(host)
-    assert host.core.choice.records[serving.address].lies
+    assert host.core.choice.records[serving.address].wrong_answers
 
 
 def test_one_replica_that_contradicts_is_not_believed_against_others() -> None:
@@ -381,7 +381,7 @@
     world.run(120)
     assert world.serving(host) is serving
     assert world.shows(host, honest)
-    assert host.core.choice.records[world.replicas[liar].address].lies
+    assert host.core.choice.records[world.replicas[liar].address].wrong_answers
 
 
 # ---- other histories, other lives ----
@@ -447,12 +447,12 @@
     world.settle()
     replica: Replica = world.replicas[0].core
     version, session = host.core.state.version, replica.by_name[host.name]
-    nonces = dict(host.core.lease.asked)
+    nonces = dict(host.core.lease.requested_at)
     fresh_at = host.core.lease.fresh_at
     position = session.position
     for _, source, target, data in recorded:
         world.network.deliver(source.address, target, data)
-    assert host.core.lease.fresh_at == fresh_at and host.core.lease.asked == nonces
+    assert host.core.lease.fresh_at == fresh_at and host.core.lease.requested_at == nonces
     assert host.core.state.version == version
     assert replica.by_name[host.name] is session and session.position == position
 
@@ -553,7 +553,7 @@
 
 def test_what_strangers_send_leaves_nothing_behind() -> None:
     """HELLOs under ever other names, scopes that never come, and tokens that nobody gave out."""
-    options = ReplicaOptions(most_sessions=50)
+    options = ReplicaOptions(max_sessions=50)
     world = SmallWorld(27, replicas=1, replica=options)
     host = world.subscribe()
     world.settle()
@@ -722,13 +722,13 @@
         host.core.retry_at = world.network.clock(host)
         world.network.carry(host, host.core.on_timer(world.network.clock(host)))
     world.run(0.1)
-    waiting = [host.core.retry_at for host in hosts if host.core.again is not None]
+    waiting = [host.core.retry_at for host in hosts if host.core.return_to is not None]
     assert len(waiting) == 12
     assert len({at // MS for at in waiting}) > 8
 
 
 def test_a_replica_at_its_limit_sends_others_elsewhere() -> None:
-    world = SmallWorld(37, replicas=2, replica=ReplicaOptions(most_sessions=3))
+    world = SmallWorld(37, replicas=2, replica=ReplicaOptions(max_sessions=3))
     for _ in range(6):
         world.subscribe()
     world.settle(30)
