--- a/dykeshift/configuration/checker.py
+++ b/dykeshift/configuration/checker.py
@@ -6,8 +6,8 @@
  1. The state that a subscriber shows is its complete scope of the store at the version that it reports.
  2. That version never decreases.
  3. A subscriber that holds a lease shows everything that was committed a lease ago.
- 4. Nobody holds a lease on a version older than the fences of all replicas, nor older than the fence of the
-    replica that has served it for a whole lease.
+ 4. Nobody holds a lease on a version older than the lowest fence of all replicas, nor older than the fence
+    of the replica that has served it for a whole lease.
  5. Bytes per second are limited: to and from each subscriber, and from each replica.
  6. The memory of a replica is bounded.
  7. A version that a replica records as shown was shown.
@@ -131,18 +131,18 @@
             self._check_subscriber(host)
 
     def _record_commits(self, host: Host) -> None:
-        """Applies entries that this control machine is the first to have committed to the reference."""
+        """Applies to the reference all entries that this control machine is the first to have committed."""
         store = host.core.store
-        truth = self.reference.store
-        if store.version <= truth.version:
+        reference = self.reference.store
+        if store.version <= reference.version:
             return
         log = host.core.machine.core.shared.log
-        if not truth.version:
+        if not reference.version:
             self.reference.restore(self.network.now, store.version, store.snapshot())
             return
         for index in range(log.base.index + 1, host.core.machine.core.shared.commit + 1):
             version = log.version_at(index)
-            if version > truth.version and log.version_at(index - 1) < version:
+            if version > reference.version and log.version_at(index - 1) < version:
                 self.reference.apply(self.network.now, version, log.entry(index).body)
 
     def _check_subscriber(self, host: Host) -> None:
@@ -185,7 +185,7 @@
             v for v in range(version + 1, self.reference.store.version + 1) if committed.get(v, limit) < limit
         ]
         if late:
-            self._report(f"{host.name} holds a lease at version {version}; {late[0]} is older than the lease")
+            self._report(f"{host.name} holds a lease at {version}; {late[0]} was committed over a lease ago")
         if version < self.tier_fence:
             self._report(f"{host.name} holds a lease at {version}, below the tier's fence {self.tier_fence}")
         record = self.records[host.name]
--- a/dykeshift/configuration/joint_campaign.py
+++ b/dykeshift/configuration/joint_campaign.py
@@ -1,4 +1,4 @@
-"""Randomized runs of the control tier in which its own coordinators lead guarded changes, under fault
+"""Randomized runs of the control tier in which its own coordinators lead guarded changes, with fault
 injection.
 
 In addition to the guarantees of checker.py:
--- a/dykeshift/configuration/subscriber.py
+++ b/dykeshift/configuration/subscriber.py
@@ -67,9 +67,7 @@
     ack_delay: int = 60 * MS  # longest delay of an acknowledgement that waits for more chunks
     ack_chunks: int = 4  # chunks after which an acknowledgement is sent at once
     audit_interval: int = 10 * SECOND  # between two audits
-    claim_timeout: int = (
-        4 * SECOND
-    )  # within which the replica has to reach a version that another one reported
+    claim_timeout: int = 4 * SECOND  # to reach a version that another replica reported
     bytes: int = 1_000
     burst: int = 1_000
     max_staged: int = 24 << 20  # bytes
@@ -152,9 +150,7 @@
         """Clears all state of the session; no replica is in use."""
         self.phase = Phase.IDLE
         self.address: Address | None = None
-        self.return_to: Address | None = (
-            None  # the replica to retry: it asked to wait, or had lost the session
-        )
+        self.return_to: Address | None = None  # the replica to retry after WAIT or GONE
         self.number = self.token = self.lineage = 0
         self.hellos_sent = 0
         self.send_at = 0  # when the next HELLO, SCOPE or RENEW is due
--- a/tests/configuration/joint_defects.py
+++ b/tests/configuration/joint_defects.py
@@ -1,4 +1,4 @@
-"""Defects put into the end of joint phases on purpose; test_joint_defects has what finds them."""
+"""Defects injected into the end of joint phases; test_joint_defects lists the tests that detect them."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
     return reported[len(reported) // 2]
 
 
-def _any_history(self: Coordinator, report: FenceReport) -> None:
+def _accepts_any_history(self: Coordinator, report: FenceReport) -> None:
     self.fences[report.number] = max(report.fenced, self.fences.get(report.number, 0))
 
 
-def _fenced_at_what_it_has(self: Replica, now: int) -> None:
-    """What a replica has committed itself, whatever leases it has granted."""
+def _fences_own_version(self: Replica, now: int) -> None:
+    """Sets the fence to the replica's own version, regardless of the leases that it has granted."""
     self.fenced = max(self.fenced, self.source.version)
 
 
-def _waits_since_it_began(self: Coordinator, now: int) -> None:
-    """Not since the joint phase was seen, but since the transaction was."""
+def _waits_from_the_start(self: Coordinator, now: int) -> None:
+    """Measures the wait from when the transaction was first seen, not its joint phase."""
     before = dict(self.seen)
     _look(self, now)
     for ident, (since, _) in self.seen.items():
@@ -41,11 +41,11 @@
             self.seen[ident] = since, before[ident][1]
 
 
-def _never_by_time(self: Coordinator, now: int, ident: int, pending: Pending) -> bool:
+def _never_times_out(self: Coordinator, now: int, ident: int, pending: Pending) -> bool:
     return self.fenced() >= pending.since
 
 
-def _touches_nothing(self: Waiting, other: Waiting) -> bool:
+def _never_conflicts(self: Waiting, other: Waiting) -> bool:
     return False
 
 
@@ -55,10 +55,10 @@
     "one fence is enough": patched(Coordinator, "fenced", _one_fence_is_enough),
     "a majority of fences is enough": patched(Coordinator, "fenced", _majority_of_fences),
     "silent replicas do not count": patched(Coordinator, "fenced", _silent_replicas_do_not_count),
-    "fences of another history count": patched(Coordinator, "on_fence", _any_history),
-    "a replica fenced at what it has": patched(Replica, "_advance_fence", _fenced_at_what_it_has),
+    "fences of another history count": patched(Coordinator, "on_fence", _accepts_any_history),
+    "a replica fenced at what it has": patched(Replica, "_advance_fence", _fences_own_version),
     "half a lease waited": patched(CoordinatorOptions, "lease_wait", property(lambda self: self.lease // 2)),
-    "waited since the beginning": patched(Coordinator, "look", _waits_since_it_began),
-    "never by time": patched(Coordinator, "_joint_is_over", _never_by_time),
-    "proposed out of order": patched(Waiting, "touches", _touches_nothing),
+    "waited since the beginning": patched(Coordinator, "look", _waits_from_the_start),
+    "never by time": patched(Coordinator, "_joint_is_over", _never_times_out),
+    "proposed out of order": patched(Waiting, "touches", _never_conflicts),
 }
--- a/tests/configuration/small_world.py
+++ b/tests/configuration/small_world.py
@@ -1,4 +1,5 @@
-"""A few replicas and subscribers on a virtual clock, without consensus: the tests write to the stores."""
+"""A small simulation: replicas and subscribers on a virtual clock, without consensus. Tests write to the
+stores."""
 
 from __future__ import annotations
 
@@ -23,7 +24,7 @@
 
 
 def filled_store(services: int = 6, tenants: int = 60) -> ConfigStore:
-    """Services `a`, `b`, ...; tenants of them in turn."""
+    """A store with services `a`, `b`, ... and tenants that use them round-robin."""
     store = ConfigStore()
     names = [chr(ord("a") + number) for number in range(services)]
     puts = [Put(Key(Kind.SERVICE, name), encode_body(Service(servers=9))) for name in names]
@@ -36,7 +37,7 @@
 
 
 def write(store: ConfigStore, puts: tuple[Put, ...] = (), deletes: tuple[Key, ...] = ()) -> int:
-    """One transaction; its version."""
+    """Commits one transaction; returns its version."""
     version = store.version + 1
     store.apply(version, encode_entry(Transaction(version, "test", puts, deletes)))
     outcome = store.outcome(version)
@@ -55,7 +56,7 @@
 
 
 class SmallWorld:
-    """Replicas `replica-0`, ... with a store each; `age` is what each says of its freshness."""
+    """Replicas `replica-0`, ... with a store each; `age`: the age of the store that each reports."""
 
     def __init__(
         self,
@@ -89,7 +90,7 @@
         return self.network.add(host)
 
     def subscribe(self, scope: Scope | None = None, start: bool = True) -> Host:
-        """Another subscriber, of services `a` and `b` unless told."""
+        """Adds a subscriber, by default with services `a` and `b` as its scope."""
         number = len(self.subscribers)
         held = scope if scope is not None else Scope(frozenset("ab"))
 
@@ -105,22 +106,22 @@
         return host
 
     def put(self, number: int, services: tuple[str, ...], share: float = 1.0, only: int | None = None) -> int:
-        """A tenant, in all stores or in one; the replicas are told."""
+        """Writes a tenant to all stores, or to one, and notifies the replicas."""
         version = 0
         for which, store in enumerate(self.stores):
             if only in (None, which):
                 version = put_tenant(store, number, services, share)
-        self.tell()
+        self.notify_replicas()
         return version
 
     def delete(self, number: int) -> int:
-        """A tenant, from all stores."""
+        """Deletes a tenant from all stores and notifies the replicas."""
         versions = [write(store, deletes=(tenant_key(number),)) for store in self.stores]
-        self.tell()
+        self.notify_replicas()
         return versions[0]
 
-    def tell(self) -> None:
-        """The replicas look at their stores."""
+    def notify_replicas(self) -> None:
+        """Notifies the replicas that their stores have changed."""
         for host in self.replicas:
             if host.up:
                 self.network.carry(host, host.core.on_change(self.network.clock(host)))
@@ -129,7 +130,7 @@
         self.network.run(seconds)
 
     def shows(self, host: Host, store: ConfigStore | None = None) -> bool:
-        """Whether a subscriber shows what the store has, and holds a lease."""
+        """Whether a subscriber shows the state of the store and holds a lease."""
         state, held = host.core.state, store or self.stores[0]
         same = [(r.key, r.version, r.body) for r in state.resources()] == [
             (r.key, r.version, r.body) for r in held.scoped(state.scope)
@@ -140,11 +141,11 @@
         return bool(host.core.lease_left(self.network.clock(host)))
 
     def serving(self, host: Host) -> Host:
-        """The replica of a subscriber."""
+        """The replica that serves a subscriber."""
         return self.network.hosts[host.core.address]
 
     def settle(self, seconds: float = 10.0) -> None:
-        """All show what the first store has."""
+        """Runs until all subscribers show the state of the first store."""
         done = self.network.run(seconds, lambda: all(self.shows(host) for host in self.subscribers))
         assert done, [(h.name, h.core.phase, h.core.state.version) for h in self.subscribers]
 
--- a/tests/configuration/subscriber_defects.py
+++ b/tests/configuration/subscriber_defects.py
@@ -1,5 +1,5 @@
-"""Defects put into subscribers and replicas on purpose, each by what it undoes; the tests and drawn days that
-find them are in test_subscriber_defects."""
+"""Defects injected into subscribers and replicas, named by their effect. test_subscriber_defects lists the
+tests and randomized runs that detect them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def _shows_each_part(self: Subscriber, now: int, whole: bytes) -> bool:
-    """What has arrived is shown as if it were all."""
+    """Shows each part as if it were the complete version."""
     part = catch_up.unpack_part(whole)
     staged = self.staging
     last = staged.take(part)
@@ -35,8 +35,8 @@
     return True
 
 
-def _says_more_than_it_shows(self: Subscriber, now: int, data: wire.Data) -> None:
-    """The last chunk is acknowledged, and the version as shown, before the part is taken."""
+def _acknowledges_too_early(self: Subscriber, now: int, data: wire.Data) -> None:
+    """Acknowledges the last chunk, and reports the version as shown, before the part is applied."""
     if data.number == data.total - 1 and self.receiver.whole is None and self.stamp:
         self._send(
             now, wire.Ack(self.token, data.transfer, data.total, 0, max(self.stamp, self.shown)), self.address
@@ -47,7 +47,7 @@
 _on_data = Subscriber._on_data
 
 
-def _whole_counts_as_taken(self: transfer.Receiver) -> int:
+def _complete_is_applied(self: transfer.Receiver) -> int:
     return self.total if self.finished else len(self.chunks)
 
 
@@ -68,8 +68,8 @@
 _remaining = catch_up.remaining
 
 
-def _forgets_the_floor(source: Any, position: Position) -> Position:
-    """Goes on from a position whose tombstones the store has forgotten."""
+def _ignores_the_floor(source: Any, position: Position) -> Position:
+    """Resumes at a position whose tombstones the store has already compacted."""
     if position.version == 0:
         return Position(floor=source.version)
     if source.snapshot_needed(position.floor):
@@ -78,7 +78,7 @@
 
 
 def _free_repetitions(self: Replica, now: int, session: Session) -> None:
-    """A chunk that goes again costs the budgets nothing."""
+    """Retransmitted chunks are not charged to the budgets."""
     sender = session.sender
     while sender is not None and (number := sender.due(now)) is not None:
         data = wire.Data(session.token, sender.number, number, len(sender.chunks), sender.chunks[number])
@@ -89,13 +89,13 @@
         sender.on_sent(now, number)
 
 
-def _never_over(self: Replica, now: int) -> None:
-    """Sessions stay, whether anybody answers or not."""
+def _never_times_out(self: Replica, now: int) -> None:
+    """Sessions stay open without any datagrams from the subscriber."""
     self.leases = [lease for lease in self.leases if lease.until > now]
     self._advance_fence(now)
 
 
-def _takes_any_hello(self: Replica, hello: wire.Hello) -> bool:
+def _accepts_stale_hello(self: Replica, hello: wire.Hello) -> bool:
     return False
 
 
@@ -132,7 +132,7 @@
 
 
 def _always_fresh(core: Any, now: int) -> int | None:
-    """The age of the store is not looked at."""
+    """Ignores the age of the store."""
     return 0
 
 
@@ -140,7 +140,7 @@
     return shown
 
 
-def _sees_at_once(self: Replica, now: int) -> Any:
+def _ignores_earlier_leases(self: Replica, now: int) -> Any:
     out = _start(self, now)
     self.fence_blocked_until = now
     return out
@@ -149,11 +149,11 @@
 _start = Replica.start
 
 
-def _fences_what_it_has(self: Replica, now: int) -> None:
+def _fences_own_version(self: Replica, now: int) -> None:
     self.fenced = max(self.fenced, self.source.version)
 
 
-def _forgets_leases(self: Replica, now: int, session: Session, release: bool = True) -> None:
+def _drops_leases(self: Replica, now: int, session: Session, release: bool = True) -> None:
     _close(self, now, session, release)
     self.leases.clear()
 
@@ -170,16 +170,16 @@
     return 0
 
 
-def _believes(self: Subscriber, now: int) -> None:
-    """What others contradict is shown as before."""
+def _ignores_contradiction(self: Subscriber, now: int) -> None:
+    """Keeps showing state that other replicas contradict."""
     self.auditor.reset_votes()
 
 
-def _claims_nothing(self: Any, now: int, version: int, address: Any) -> None:
+def _ignores_claims(self: Any, now: int, version: int, address: Any) -> None:
     return
 
 
-def _takes_any_history(self: Subscriber, now: int, message: wire.Welcome | wire.Wait) -> None:
+def _accepts_any_history(self: Subscriber, now: int, message: wire.Welcome | wire.Wait) -> None:
     held, self.lease.fresh_at = self.lease.fresh_at, None
     _on_greeted(self, now, message)
     self.lease.fresh_at = held
@@ -189,7 +189,7 @@
 
 
 def _acknowledged_ahead(self: transfer.Sender, following: int, ahead: int) -> None:
-    """A last chunk that has arrived ahead of others never goes again."""
+    """Never retransmits a last chunk that arrived out of order."""
     _on_ack(self, following, ahead)
     last = len(self.chunks) - 1
     if ahead >> max(0, last - following - 1) & 1 and last > following:
@@ -199,16 +199,16 @@
 _on_ack = transfer.Sender.on_ack
 
 
-def _staged_over(self: Staging, part: Part) -> bool:
-    """A part is taken wherever it begins."""
+def _accepts_any_part(self: Staging, part: Part) -> bool:
+    """Accepts a part wherever it starts."""
     for resource in part.resources:
         self.resources[resource.key] = resource
     self.position = part.after if part.after is not None else part.start
     return part.after is None
 
 
-def _begins_again(self: Subscriber, now: int, reason: wire.ByeReason) -> None:
-    """What is staged is forgotten with the replica that sent it."""
+def _discards_staged(self: Subscriber, now: int, reason: wire.ByeReason) -> None:
+    """Discards the staged parts when their replica is left."""
     self.staging.reset(self.shown)
     _leave(self, now, reason)
 
@@ -217,33 +217,37 @@
 
 
 DEFECTS: dict[str, Defect] = {
-    "half a version is shown": patched(Subscriber, "_accept_part", _shows_each_part),
-    "acknowledged before it is shown": patched(Subscriber, "_on_data", _says_more_than_it_shows),
-    "a whole part counts as taken": patched(transfer.Receiver, "following", property(_whole_counts_as_taken)),
-    "a digest is not looked at": patched(SubscriberState, "change", _no_digest),
-    "goes on behind the rest of a version": patched(catch_up, "_is_behind", _skips_the_rest_of_a_version),
+    "an incomplete version is shown": patched(Subscriber, "_accept_part", _shows_each_part),
+    "acknowledged before it is shown": patched(Subscriber, "_on_data", _acknowledges_too_early),
+    "complete parts count as applied": patched(
+        transfer.Receiver, "following", property(_complete_is_applied)
+    ),
+    "the digest is not checked": patched(SubscriberState, "change", _no_digest),
+    "resumes after the rest of a version": patched(catch_up, "_is_behind", _skips_the_rest_of_a_version),
     "tombstones are not sent": patched(catch_up, "remaining", _without_tombstones),
-    "goes on where tombstones are forgotten": patched(catch_up, "start_of", _forgets_the_floor),
-    "repetitions cost nothing": patched(Replica, "_send_chunks_of", _free_repetitions),
-    "sessions are never over": patched(Replica, "_scan_sessions", _never_over),
-    "an old hello begins a session": patched(Replica, "_is_stale", _takes_any_hello),
+    "resumes where tombstones are compacted": patched(catch_up, "start_of", _ignores_the_floor),
+    "retransmissions are not charged": patched(Replica, "_send_chunks_of", _free_repetitions),
+    "sessions never time out": patched(Replica, "_scan_sessions", _never_times_out),
+    "a stale hello opens a session": patched(Replica, "_is_stale", _accepts_stale_hello),
     "a hello alone confirms a session": patched(Replica, "_admit", _confirmed_by_a_hello),
-    "a grant counts unasked": patched(Subscriber, "_on_grant", _any_nonce),
+    "a grant counts without a request": patched(Subscriber, "_on_grant", _any_nonce),
     "a lease counts from the answer": patched(Subscriber, "_on_grant", _counts_from_the_answer),
     "a lease counts before its stamp is shown": patched(
         SubscriberLease, "on_grant", _counts_before_it_is_shown
     ),
-    "a replica that lags renews leases": patched(control, "freshness_age", _always_fresh),
-    "a change is told as none": patched(Replica, "_unchanged_since", _always_unchanged),
-    "leases of an earlier life are forgotten": patched(Replica, "start", _sees_at_once),
-    "fenced what only the replica has": patched(Replica, "_advance_fence", _fences_what_it_has),
-    "leases of an earlier session are forgotten": patched(Replica, "_close", _forgets_leases),
+    "a lagging replica renews leases": patched(control, "freshness_age", _always_fresh),
+    "a change is reported as unchanged": patched(Replica, "_unchanged_since", _always_unchanged),
+    "leases from before a restart are ignored": patched(Replica, "start", _ignores_earlier_leases),
+    "the fence is the replica's own version": patched(Replica, "_advance_fence", _fences_own_version),
+    "leases of an earlier session are ignored": patched(Replica, "_close", _drops_leases),
     "no jitter": patched(Subscriber, "_jittered", _no_jitter),
     "no admission": patched(AdmissionQueue, "request", _admits_all),
-    "two who contradict are not believed": patched(Subscriber, "_discard_state", _believes),
-    "what another replica has is not asked": patched(Auditor, "record_claim", _claims_nothing),
-    "another history under a lease": patched(Subscriber, "_on_hello_reply", _takes_any_history),
-    "a chunk that arrived ahead never goes again": patched(transfer.Sender, "on_ack", _acknowledged_ahead),
-    "a part is taken wherever it begins": patched(Staging, "take", _staged_over),
-    "staged parts are forgotten with a replica": patched(Subscriber, "_leave", _begins_again),
+    "two contradicting replicas are ignored": patched(Subscriber, "_discard_state", _ignores_contradiction),
+    "claims of other replicas are ignored": patched(Auditor, "record_claim", _ignores_claims),
+    "the history changes under a lease": patched(Subscriber, "_on_hello_reply", _accepts_any_history),
+    "a chunk received out of order is never retransmitted": patched(
+        transfer.Sender, "on_ack", _acknowledged_ahead
+    ),
+    "a part is accepted wherever it starts": patched(Staging, "take", _accepts_any_part),
+    "staged parts are discarded with their replica": patched(Subscriber, "_leave", _discards_staged),
 }
--- a/tests/configuration/test_campaign.py
+++ b/tests/configuration/test_campaign.py
@@ -1,4 +1,4 @@
-"""Drawn days of the control tier and its subscribers: the promises hold throughout, and all come back."""
+"""Randomized runs of the control tier and its subscribers: guarantees hold throughout, and all recover."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 
 def fenced(tier: Tier, version: int) -> bool:
-    """Whether the version is in force everywhere, and all control machines know it."""
+    """Whether the version is in force everywhere and all replicas have fenced it."""
     return tier.in_force(version) and all(h.core.replica.fenced >= version for h in tier.control)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_drawn_day_breaks_nothing_and_all_come_back(seed: int) -> None:
+def test_randomized_run_keeps_all_guarantees_and_recovers(seed: int) -> None:
     report = run_seed(seed)
     assert not report.broken
     assert report.versions > 10 and sum(report.faults.values()) > 5
 
 
-def test_a_day_is_the_same_each_time() -> None:
+def test_run_is_deterministic() -> None:
     assert run_seed(3) == run_seed(3)
 
 
-def test_all_at_once_from_nothing_and_a_change_is_in_force_everywhere() -> None:
+def test_simultaneous_start_without_state_and_changes_in_force_everywhere() -> None:
     tier = Tier("calm", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
@@ -44,7 +44,7 @@
     assert not checker.broken
 
 
-def test_the_whole_tier_and_all_subscribers_start_again() -> None:
+def test_restart_of_the_whole_tier_and_all_subscribers() -> None:
     tier = Tier("again", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
@@ -60,7 +60,7 @@
     assert not checker.broken
 
 
-def test_the_regions_apart_the_side_with_the_voters_goes_on_and_the_other_is_degraded() -> None:
+def test_partition_between_regions_degrades_only_the_side_without_quorum() -> None:
     tier = Tier("apart", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
@@ -82,15 +82,15 @@
     assert not checker.broken
 
 
-def test_those_left_behind_are_named_and_nobody_else() -> None:
+def test_only_subscribers_that_are_behind_are_listed() -> None:
     tier = Tier("named", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
     tier.start_subscribers()
     assert tier.network.run(20, tier.settled)
     cut, dead, *others = tier.subscribers
-    remembered = {cut.core.address, dead.core.address}
-    moved = next(host for host in others if host.core.address not in remembered)
+    their_replicas = {cut.core.address, dead.core.address}
+    moved = next(host for host in others if host.core.address not in their_replicas)
     for region in ("east", "west"):
         tier.network.cut(cut.name, region)
     tier.network.kill(dead)
--- a/tests/configuration/test_joint_campaign.py
+++ b/tests/configuration/test_joint_campaign.py
@@ -1,4 +1,5 @@
-"""Guarded changes led by the tier itself, on the virtual clock: in quiet, with faults, and on drawn days."""
+"""Guarded changes led by the tier itself, on the virtual clock: without faults, with single faults,
+randomized."""
 
 from __future__ import annotations
 
@@ -16,115 +17,115 @@
 LEASE = LED.subscriber.lease / SECOND
 
 
-def turned(unsafe: bool) -> Put:
+def class_change(unsafe: bool) -> Put:
     terms = ClassTerms(SECOND // 5, 2 * SECOND, 1.0, "side_effect" if unsafe else "pure", position=1)
     return Put(CLASS, encode_body(terms))
 
 
-def quiet_day(name: str) -> LedDay:
-    """Everybody up, the replicas' first leases over."""
-    day = LedDay(name)
-    day.tier.start_control()
-    day.tier.start_subscribers()
-    assert day.network.run(30, day.tier.settled)
-    day.network.run(2.5 * LEASE)
-    return day
+def run_without_faults(name: str) -> LedDay:
+    """A run with all hosts up, in which the wait for leases from before the replicas' start is over."""
+    run = LedDay(name)
+    run.tier.start_control()
+    run.tier.start_subscribers()
+    assert run.network.run(30, run.tier.settled)
+    run.network.run(2.5 * LEASE)
+    return run
 
 
-def phase_at(day: LedDay, ident: int) -> Phase | None:
-    store = day.tier.newest()
+def phase_at(run: LedDay, ident: int) -> Phase | None:
+    store = run.tier.newest()
     if ident in store.pending:
         return store.pending[ident].phase
     outcome = store.outcome(ident)
     return outcome.phase if outcome is not None else None
 
 
-def leader_of(day: LedDay) -> Host:
-    leader = day.tier.leader()
+def leader_of(run: LedDay) -> Host:
+    leader = run.tier.leader()
     assert leader is not None
     return leader
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_drawn_day_breaks_nothing_and_all_is_decided(seed: int) -> None:
-    day = LedDay(seed)
-    report = day.run()
+def test_randomized_run_keeps_all_guarantees_and_decides_all_transactions(seed: int) -> None:
+    run = LedDay(seed)
+    report = run.run()
     assert not report.broken
-    assert day.asked
+    assert run.asked
 
 
-def test_in_quiet_a_guarded_change_is_in_force_everywhere_long_before_a_lease_is_over() -> None:
-    day = quiet_day("quiet")
+def test_without_faults_a_guarded_change_is_in_force_well_within_a_lease() -> None:
+    run = run_without_faults("quiet")
     for round_number in range(4):
-        day.ask(turned(round_number % 2 == 0))
-        assert day.network.run(LEASE / 2, day.decided)
-        day.network.run(1)
-    times = day.latencies().in_force
+        run.ask(class_change(round_number % 2 == 0))
+        assert run.network.run(LEASE / 2, run.decided)
+        run.network.run(1)
+    times = run.latencies().in_force
     assert len(times) == 4
     assert max(times) < LEASE / 2
-    assert not day.checker.broken
+    assert not run.checker.broken
 
 
-def test_many_guarded_changes_are_under_way_side_by_side() -> None:
-    day = quiet_day("side by side")
+def test_guarded_changes_run_concurrently() -> None:
+    run = run_without_faults("side by side")
     for number, name in enumerate(("interactive", "batch", "background")):
         body = ClassTerms(SECOND // 5, 2 * SECOND, 1.0, "side_effect", position=number)
-        day.ask(Put(Key(Kind.CLASS, name), encode_body(body)))
-    assert day.network.run(LEASE / 2, lambda: len(day.tier.newest().pending) == 3)
-    assert day.network.run(LEASE / 2, day.decided)
-    assert {one.end for one in day.asked.values()} == {Phase.COMMITTED}
-    assert not day.checker.broken
+        run.ask(Put(Key(Kind.CLASS, name), encode_body(body)))
+    assert run.network.run(LEASE / 2, lambda: len(run.tier.newest().pending) == 3)
+    assert run.network.run(LEASE / 2, run.decided)
+    assert {one.end for one in run.asked.values()} == {Phase.COMMITTED}
+    assert not run.checker.broken
 
 
 def test_a_subscriber_that_is_cut_off_is_waited_for_while_its_lease_may_hold() -> None:
-    day = quiet_day("cut off")
-    cut = day.tier.subscribers[0]
+    run = run_without_faults("cut off")
+    cut = run.tier.subscribers[0]
     for region in ("east", "west"):
-        day.network.cut(cut.name, region)
-    ident = day.ask(turned(True))
-    while cut.core.lease_left(day.network.clock(cut)):
-        assert phase_at(day, ident) is not Phase.COMMITTED
-        day.network.run(0.1)
-    assert day.network.run(2 * LEASE, day.decided)
-    committed = day.asked[ident].committed_at - day.asked[ident].requested_at
+        run.network.cut(cut.name, region)
+    ident = run.ask(class_change(True))
+    while cut.core.lease_left(run.network.clock(cut)):
+        assert phase_at(run, ident) is not Phase.COMMITTED
+        run.network.run(0.1)
+    assert run.network.run(2 * LEASE, run.decided)
+    committed = run.asked[ident].committed_at - run.asked[ident].requested_at
     assert committed / SECOND < LEASE * 1.1 + 1
-    assert not day.checker.broken
+    assert not run.checker.broken
 
 
 def test_a_replica_that_stands_still_is_waited_for_by_time() -> None:
-    day = quiet_day("silent")
-    silent = next(host for host in day.tier.control if host is not leader_of(day))
-    day.network.stop(silent)
-    ident = day.ask(turned(True))
-    assert not day.network.run(LEASE * 0.8, day.decided)
-    behind = leader_of(day).core.machine.coordination.coordinator.behind(
-        day.tier.newest().pending[ident].since
+    run = run_without_faults("silent")
+    silent = next(host for host in run.tier.control if host is not leader_of(run))
+    run.network.stop(silent)
+    ident = run.ask(class_change(True))
+    assert not run.network.run(LEASE * 0.8, run.decided)
+    behind = leader_of(run).core.machine.coordination.coordinator.behind(
+        run.tier.newest().pending[ident].since
     )
-    assert day.tier.control.index(silent) in behind
-    assert day.network.run(LEASE * 0.6, day.decided)
-    day.network.resume(silent)
-    assert day.network.run(20, day.tier.settled)
-    assert not day.checker.broken
+    assert run.tier.control.index(silent) in behind
+    assert run.network.run(LEASE * 0.6, run.decided)
+    run.network.resume(silent)
+    assert run.network.run(20, run.tier.settled)
+    assert not run.checker.broken
 
 
-def test_a_leader_that_dies_in_the_joint_phase_leaves_it_to_the_next_one() -> None:
-    day = quiet_day("leader")
-    cut = day.tier.subscribers[0]
+def test_next_leader_finishes_the_joint_phase_of_a_crashed_one() -> None:
+    run = run_without_faults("leader")
+    cut = run.tier.subscribers[0]
     for region in ("east", "west"):
-        day.network.cut(cut.name, region)
-    ident = day.ask(turned(True))
-    assert day.network.run(LEASE, lambda: phase_at(day, ident) is Phase.JOINT)
-    day.network.kill(leader_of(day))
-    assert day.network.run(4 * LEASE, day.decided)
-    assert day.asked[ident].end is Phase.COMMITTED
-    assert not day.checker.broken
+        run.network.cut(cut.name, region)
+    ident = run.ask(class_change(True))
+    assert run.network.run(LEASE, lambda: phase_at(run, ident) is Phase.JOINT)
+    run.network.kill(leader_of(run))
+    assert run.network.run(4 * LEASE, run.decided)
+    assert run.asked[ident].end is Phase.COMMITTED
+    assert not run.checker.broken
 
 
-def test_a_day_is_the_same_each_time() -> None:
+def test_run_is_deterministic() -> None:
     assert run_led_seed(2) == run_led_seed(2)
 
 
-def test_without_a_coordinator_nobody_leads() -> None:
-    day = LedDay("unled", replace(LED, coordinator=None))
-    day.tier.start_control()
-    assert all(host.core.machine.coordination is None for host in day.tier.control)
+def test_without_coordinator_options_no_machine_leads_transactions() -> None:
+    run = LedDay("unled", replace(LED, coordinator=None))
+    run.tier.start_control()
+    assert all(host.core.machine.coordination is None for host in run.tier.control)
--- a/tests/configuration/test_shell.py
+++ b/tests/configuration/test_shell.py
@@ -1,4 +1,4 @@
-"""Replica and subscriber on real sockets of the loopback."""
+"""A replica and a subscriber over UDP sockets on the loopback interface."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
         return int(probe.getsockname()[1])
 
 
-def test_a_change_goes_over_sockets_and_a_goodbye_ends_the_session() -> None:
-    asyncio.run(asyncio.wait_for(converse(), 60))
+def test_change_arrives_over_sockets_and_bye_ends_the_session() -> None:
+    asyncio.run(asyncio.wait_for(exchange_datagrams(), 60))
 
 
-async def converse() -> None:
+async def exchange_datagrams() -> None:
     loop, clock, store = asyncio.get_running_loop(), SystemClock(), filled_store()
     address = ("127.0.0.1", free_port())
     replica = Replica(ReplicaOptions(), SEAL, store, lambda now: 0, Random(1))
@@ -40,10 +40,10 @@
         Random(2),
     )
     stepped = asyncio.Event()
-    serving = Shell(loop, clock, replica)
-    holding = Shell(loop, clock, subscriber, stepped.set)
-    await serving.open(address)
-    await holding.open(("127.0.0.1", 0))
+    replica_shell = Shell(loop, clock, replica)
+    subscriber_shell = Shell(loop, clock, subscriber, stepped.set)
+    await replica_shell.open(address)
+    await subscriber_shell.open(("127.0.0.1", 0))
 
     async def shows(version: int) -> None:
         while subscriber.state.version < version or not subscriber.lease_left(clock.monotonic_ns()):
@@ -52,11 +52,11 @@
 
     await shows(store.version)
     version = put_tenant(store, 0, ("a",), 5.0)
-    serving.carry(replica.on_change(clock.monotonic_ns()))
+    replica_shell.carry(replica.on_change(clock.monotonic_ns()))
     await shows(version)
     assert subscriber.state.resources() == store.scoped(subscriber.scope)
-    holding.close(subscriber.end(clock.monotonic_ns()))
+    subscriber_shell.close(subscriber.end(clock.monotonic_ns()))
     while replica.sessions:
         await asyncio.sleep(0)
-    serving.close()
-    assert serving.sent_bytes and serving.sent_datagrams and not serving.send_errors
+    replica_shell.close()
+    assert replica_shell.sent_bytes and replica_shell.sent_datagrams and not replica_shell.send_errors
--- a/tests/configuration/test_subscriber_defects.py
+++ b/tests/configuration/test_subscriber_defects.py
@@ -1,4 +1,4 @@
-"""Each defect of subscribers and replicas is found: by the seed of a drawn day, or by the named test."""
+"""Each injected defect of subscribers and replicas is detected: by a randomized run, or by the named test."""
 
 from __future__ import annotations
 
@@ -11,54 +11,54 @@
 from tests.seeded import defect_tests
 
 SEEDS: dict[str, int] = {
-    "a replica that lags renews leases": 0,
+    "a lagging replica renews leases": 0,
     "a lease counts before its stamp is shown": 0,
-    "a change is told as none": 0,
-    "fenced what only the replica has": 0,
+    "a change is reported as unchanged": 0,
+    "the fence is the replica's own version": 0,
     "acknowledged before it is shown": 3,
 }
 TESTS: dict[str, Callable[[], Any]] = {
-    "half a version is shown": test_subscribers.test_nothing_is_shown_of_a_catching_up_that_is_not_whole,
-    "a whole part counts as taken": test_catch_up.test_a_transfer_arrives_whatever_is_lost_doubled_or_late,
-    "a digest is not looked at": (
-        test_subscribers.test_a_part_that_does_not_add_up_is_not_shown_and_its_sender_is_left
+    "an incomplete version is shown": test_subscribers.test_incomplete_catch_up_is_not_shown,
+    "complete parts count as applied": test_catch_up.test_a_transfer_arrives_whatever_is_lost_doubled_or_late,
+    "the digest is not checked": (
+        test_subscribers.test_part_with_a_wrong_digest_is_rejected_and_its_replica_left
     ),
-    "goes on behind the rest of a version": (
-        test_subscribers.test_a_subscriber_shows_its_scope_and_holds_a_lease
+    "resumes after the rest of a version": (
+        test_subscribers.test_subscriber_shows_its_scope_and_holds_a_lease
     ),
     "tombstones are not sent": test_catch_up.test_only_what_differs_is_sent,
-    "goes on where tombstones are forgotten": (test_catch_up.test_who_is_too_far_behind_begins_from_nothing),
-    "repetitions cost nothing": (test_subscribers.test_a_session_keeps_to_its_budget_also_when_all_is_lost),
-    "sessions are never over": test_subscribers.test_what_strangers_send_leaves_nothing_behind,
-    "an old hello begins a session": (test_subscribers.test_an_old_hello_does_not_end_a_session_that_begins),
+    "resumes where tombstones are compacted": (test_catch_up.test_who_is_too_far_behind_begins_from_nothing),
+    "retransmissions are not charged": (
+        test_subscribers.test_session_keeps_its_budget_when_all_datagrams_are_lost
+    ),
+    "sessions never time out": test_subscribers.test_datagrams_of_unknown_senders_leave_no_state,
+    "a stale hello opens a session": (test_subscribers.test_stale_hello_does_not_end_a_newer_session),
     "a hello alone confirms a session": (
-        test_subscribers.test_a_hello_that_is_played_at_another_replica_draws_no_parts
+        test_subscribers.test_hello_replayed_to_another_replica_triggers_no_parts
     ),
-    "a grant counts unasked": test_subscribers.test_a_grant_counts_once_and_from_when_it_was_asked_for,
-    "a lease counts from the answer": test_subscribers.test_a_grant_that_arrives_late_is_worth_less,
-    "leases of an earlier life are forgotten": (
-        test_subscribers.test_a_replica_that_comes_back_fences_nothing_until_the_leases_of_its_earlier_life_are_over
+    "a grant counts without a request": test_subscribers.test_grant_counts_once_and_from_its_request,
+    "a lease counts from the answer": test_subscribers.test_delayed_grant_gives_a_shorter_lease,
+    "leases from before a restart are ignored": (
+        test_subscribers.test_restarted_replica_keeps_its_fence_until_earlier_leases_have_expired
     ),
-    "leases of an earlier session are forgotten": (
-        test_subscribers.test_the_lease_of_a_process_that_stands_still_counts_though_its_name_has_a_new_session
+    "leases of an earlier session are ignored": (
+        test_subscribers.test_lease_of_a_paused_process_blocks_the_fence_after_its_name_opens_a_new_session
     ),
-    "no jitter": test_subscribers.test_who_waits_comes_back_with_a_jitter_of_its_own,
+    "no jitter": test_subscribers.test_waiting_subscribers_retry_with_jitter,
     "no admission": (
         test_catch_up.test_the_longest_waiting_goes_first_and_who_does_not_come_back_loses_its_place
     ),
-    "two who contradict are not believed": (
-        test_subscribers.test_two_others_outvote_a_replica_whose_lie_adds_up
-    ),
-    "what another replica has is not asked": (
-        test_subscribers.test_a_replica_that_lags_is_left_for_one_that_does_not
+    "two contradicting replicas are ignored": (
+        test_subscribers.test_two_replicas_outvote_one_with_wrong_data_and_a_valid_digest
     ),
-    "another history under a lease": test_subscribers.test_another_history_is_taken_only_without_a_lease,
-    "a chunk that arrived ahead never goes again": (
+    "claims of other replicas are ignored": (test_subscribers.test_lagging_replica_is_left_for_a_newer_one),
+    "the history changes under a lease": test_subscribers.test_history_changes_only_without_a_lease,
+    "a chunk received out of order is never retransmitted": (
         test_catch_up.test_a_transfer_arrives_whatever_is_lost_doubled_or_late
     ),
-    "a part is taken wherever it begins": test_subscribers.test_resources_outside_the_scope_are_not_taken,
-    "staged parts are forgotten with a replica": (
-        test_subscribers.test_catching_up_goes_on_at_another_replica_where_it_stopped
+    "a part is accepted wherever it starts": test_subscribers.test_resources_outside_the_scope_are_rejected,
+    "staged parts are discarded with their replica": (
+        test_subscribers.test_catch_up_continues_at_another_replica
     ),
 }
 
--- a/tests/configuration/test_subscriber_wire.py
+++ b/tests/configuration/test_subscriber_wire.py
@@ -1,4 +1,4 @@
-"""The datagrams between subscribers and replicas: each survives, nothing else does."""
+"""Encoding and decoding of the datagrams between subscribers and replicas."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
-def test_every_message_survives_and_fits(message: wire.Message) -> None:
+def test_every_message_round_trips_and_fits_a_datagram(message: wire.Message) -> None:
     data = wire.encode(message, SEAL)
     assert len(data) <= MOST
     assert wire.is_ours(data)
     assert wire.decode(data, SEAL) == message
 
 
-def test_every_kind_is_tried() -> None:
+def test_every_kind_is_covered() -> None:
     kinds = {wire.encode(message, SEAL)[1] for message in MESSAGES}
     assert kinds == set(wire.Kind)
 
 
-def test_kinds_are_those_of_nobody_else() -> None:
+def test_kinds_do_not_overlap_with_other_protocols() -> None:
     others = {*agree_wire.Kind, *versions_wire.Kind}
     assert not others & set(wire.Kind)
     assert all(wire.FIRST_KIND <= kind <= wire.LAST_KIND for kind in wire.Kind)
 
 
-def test_what_does_not_fit_is_not_encoded() -> None:
+def test_oversized_messages_are_not_encoded() -> None:
     with pytest.raises(ValueError):
         wire.encode(wire.Data(1, 2, 3, 4, bytes(wire.CHUNK + 1)), SEAL)
     with pytest.raises(ValueError):
@@ -58,14 +58,14 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_no_message(data: bytes) -> None:
+def test_arbitrary_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(Bad) as error:
         wire.decode(data, SEAL)
     assert error.value.args[0] in REASONS
 
 
 @given(st.sampled_from(MESSAGES), st.integers(0, 255), st.integers(1, 255))
-def test_a_changed_byte_is_found(message: wire.Message, place: int, change: int) -> None:
+def test_changed_byte_is_detected(message: wire.Message, place: int, change: int) -> None:
     data = bytearray(wire.encode(message, SEAL))
     data[place % len(data)] ^= change
     with pytest.raises(Bad):
@@ -73,7 +73,7 @@
 
 
 @given(st.integers(0, 255), st.binary(max_size=236))
-def test_sealed_bytes_of_any_form_end_in_a_message_or_bad(kind: int, body: bytes) -> None:
+def test_sealed_arbitrary_bytes_decode_or_raise_bad(kind: int, body: bytes) -> None:
     head = wire.HEAD.pack(VERSION, kind, SEAL.tag, 7)
     data = head + body
     try:
@@ -84,7 +84,7 @@
         assert type(message).__name__ in {type(one).__name__ for one in MESSAGES}
 
 
-def test_another_fleet_s_datagrams_are_dropped() -> None:
+def test_datagrams_of_another_fleet_are_rejected() -> None:
     for message in MESSAGES:
         with pytest.raises(Bad):
             wire.decode(wire.encode(message, Seal("other")), SEAL)
--- a/tests/configuration/test_subscribers.py
+++ b/tests/configuration/test_subscribers.py
@@ -1,4 +1,4 @@
-"""Replicas and subscribers on a virtual clock: pushes, acknowledgements, leases, leaving, second opinions."""
+"""Replicas and subscribers on a virtual clock: parts, acknowledgements, leases, change of replica, audits."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from tests.configuration.small_world import SEAL, SmallWorld, filled_store, put_tenant, tenant_key, write
 
 
-class Tap:
-    """All datagrams of the configuration that were sent, as messages."""
+class DatagramLog:
+    """Records all datagrams that are sent, and decodes them."""
 
     def __init__(self, world: SmallWorld) -> None:
         self.sent: list[tuple[int, Host, Host, bytes]] = []
@@ -40,14 +40,14 @@
         return [message for message in found if isinstance(message, kind)]
 
 
-def left_for(host: Host) -> list[tuple[Address, str]]:
+def departures(host: Host) -> list[tuple[Address, str]]:
     return [(e.address, e.reason) for e in host.core.take_events() if isinstance(e, ReplicaLeft)]
 
 
 # ---- steady state ----
 
 
-def test_a_subscriber_shows_its_scope_and_holds_a_lease() -> None:
+def test_subscriber_shows_its_scope_and_holds_a_lease() -> None:
     world = SmallWorld(1)
     host = world.subscribe()
     world.settle()
@@ -57,16 +57,16 @@
     assert host.core.state.get(tenant_key(2)) is None  # of service c
 
 
-def test_a_change_reaches_whom_it_concerns_and_costs_the_others_nothing() -> None:
+def test_change_is_sent_only_to_subscribers_whose_scope_it_touches() -> None:
     world = SmallWorld(2, replicas=1)
     near, far = world.subscribe(Scope(frozenset("ab"))), world.subscribe(Scope(frozenset("cd")))
     world.settle()
     world.run(3)
-    tap = Tap(world)
+    log = DatagramLog(world)
     version = world.put(0, ("a",), 7.0)
     world.settle(4)
     assert near.core.state.version == far.core.state.version == version
-    assert tap.messages(wire.Data, target=near) and not tap.messages(wire.Data, target=far)
+    assert log.messages(wire.Data, target=near) and not log.messages(wire.Data, target=far)
     near.core.take_events()
     world.delete(0)
     world.settle(4)
@@ -74,7 +74,7 @@
     assert near.core.take_events() == [Applied(version + 1, (tenant_key(0),))]
 
 
-def test_who_leaves_the_scope_is_gone_and_who_enters_is_there() -> None:
+def test_resources_that_leave_or_enter_the_scope_are_removed_or_added() -> None:
     world = SmallWorld(3)
     host = world.subscribe()
     world.settle()
@@ -85,7 +85,7 @@
     assert host.core.state.get(tenant_key(2)) is not None
 
 
-def test_an_empty_scope_is_shown_too() -> None:
+def test_scope_without_resources_is_served() -> None:
     world = SmallWorld(4)
     host = world.subscribe(Scope(frozenset(("nobody",))))
     world.settle()
@@ -94,7 +94,7 @@
     world.settle()
 
 
-def test_a_scope_of_many_services_is_told_in_pieces() -> None:
+def test_large_scope_is_sent_in_pieces() -> None:
     names = frozenset(f"a-rather-long-name-of-a-service-{number}" for number in range(100)) | {"a"}
     world = SmallWorld(5)
     host = world.subscribe(Scope(names))
@@ -103,18 +103,18 @@
     assert len(host.core.scope_bytes) > 10 * wire.SCOPE_CHUNK
 
 
-def test_one_scope_is_told_once_to_each_replica() -> None:
+def test_replica_caches_a_known_scope() -> None:
     world = SmallWorld(6, replicas=1)
     world.subscribe()
     world.settle()
-    tap = Tap(world)
+    log = DatagramLog(world)
     world.subscribe()
     world.settle()
-    assert not tap.messages(wire.ScopePiece)
+    assert not log.messages(wire.ScopePiece)
 
 
-def test_nothing_is_acknowledged_as_shown_before_it_is() -> None:
-    """Whatever says `shown`: the subscriber showed it as it said so."""
+def test_reported_version_is_the_shown_version() -> None:
+    """Each `shown` in an Ack or Renew equals the version that the subscriber showed when it was sent."""
     world = SmallWorld(7)
     world.network.conditions.loss = 0.2
     host = world.subscribe()
@@ -135,22 +135,22 @@
     assert not wrong
 
 
-def test_the_last_chunk_is_acknowledged_only_once_the_part_is_taken() -> None:
+def test_last_chunk_is_acknowledged_only_after_the_part_is_applied() -> None:
     world = SmallWorld(8, replicas=1)
-    tap = Tap(world)
+    log = DatagramLog(world)
     host = world.subscribe()
     world.settle()
     assert world.stores[0].version
     shown_at = host.core.state.version
-    acks = [m for m in tap.messages(wire.Ack, source=host) if isinstance(m, wire.Ack)]
-    totals = {m.transfer: m.total for m in tap.messages(wire.Data, target=host) if isinstance(m, wire.Data)}
+    acks = [m for m in log.messages(wire.Ack, source=host) if isinstance(m, wire.Ack)]
+    totals = {m.transfer: m.total for m in log.messages(wire.Data, target=host) if isinstance(m, wire.Data)}
     final = [ack for ack in acks if ack.following == totals[ack.transfer]]
     last = max(totals)
     assert any(ack.transfer == last for ack in final)
     assert all(ack.shown == shown_at for ack in final if ack.transfer == last)
 
 
-def test_a_lost_acknowledgement_of_the_last_chunk_is_asked_for_again() -> None:
+def test_lost_acknowledgement_of_the_last_chunk_is_recovered() -> None:
     world = SmallWorld(9, replicas=1)
     host = world.subscribe()
     world.settle()
@@ -169,7 +169,7 @@
 # ---- leases and the fence ----
 
 
-def test_who_is_cut_off_is_degraded_within_a_lease_and_keeps_what_it_shows() -> None:
+def test_partitioned_subscriber_loses_its_lease_and_keeps_its_state() -> None:
     world = SmallWorld(10)
     host = world.subscribe()
     world.settle()
@@ -184,7 +184,7 @@
     world.settle(40)
 
 
-def test_the_fence_waits_for_who_holds_a_lease_and_passes_when_it_is_over() -> None:
+def test_fence_waits_until_the_lease_of_a_partitioned_subscriber_expires() -> None:
     world = SmallWorld(11, replicas=1)
     one, other = world.subscribe(), world.subscribe()
     world.settle()
@@ -203,7 +203,7 @@
     assert replica.behind(version) == [other.name]
 
 
-def test_the_fence_of_a_change_is_raised_by_acknowledgements_without_waiting_for_the_lease() -> None:
+def test_fence_advances_on_acknowledgements_before_leases_expire() -> None:
     world = SmallWorld(12, replicas=1)
     for _ in range(4):
         world.subscribe()
@@ -214,7 +214,7 @@
     assert world.network.run(3.0, lambda: replica.fenced == version)
 
 
-def test_a_replica_that_comes_back_fences_nothing_until_the_leases_of_its_earlier_life_are_over() -> None:
+def test_restarted_replica_keeps_its_fence_until_earlier_leases_have_expired() -> None:
     world = SmallWorld(13, replicas=1)
     host = world.subscribe()
     world.settle()
@@ -230,7 +230,7 @@
     assert world.network.run(5, lambda: replica.fenced == version)
 
 
-def test_those_who_catch_up_hold_no_fence_back() -> None:
+def test_subscriber_that_catches_up_does_not_block_the_fence() -> None:
     options = ReplicaOptions(session_bytes=600, session_burst=600)
     world = SmallWorld(14, replicas=1, store=filled_store(tenants=400), replica=options)
     world.subscribe(Scope.everything())
@@ -242,7 +242,7 @@
     assert world.subscribers[0].core.state.version == 0
 
 
-def test_no_lease_by_a_replica_that_does_not_know_how_fresh_it_is() -> None:
+def test_replica_without_known_freshness_grants_no_lease() -> None:
     world = SmallWorld(15, replicas=2)
     host = world.subscribe()
     world.settle()
@@ -254,7 +254,7 @@
     assert world.leased(host)
 
 
-def test_a_lease_is_shorter_by_the_age_of_the_store() -> None:
+def test_lease_is_shortened_by_the_age_of_the_store() -> None:
     world = SmallWorld(16, replicas=1)
     world.age = [4 * SECOND]
     host = world.subscribe()
@@ -264,10 +264,10 @@
         world.run(0.1)
 
 
-# ---- leaving a replica ----
+# ---- change of replica ----
 
 
-def test_a_silent_replica_is_left() -> None:
+def test_unresponsive_replica_is_left() -> None:
     world = SmallWorld(17)
     host = world.subscribe()
     world.settle()
@@ -277,11 +277,12 @@
         6, lambda: host.core.phase is Phase.SERVED and world.serving(host) is not serving
     )
     world.settle()
-    assert (serving.address, "silent") in left_for(host)
+    assert (serving.address, "silent") in departures(host)
 
 
-def test_a_replica_that_lags_is_left_for_one_that_does_not() -> None:
-    """It says it is fresh and has no later version; a second opinion says otherwise."""
+def test_lagging_replica_is_left_for_a_newer_one() -> None:
+    """The replica claims to be fresh but has an old version; an audit at another replica finds the newer
+    one."""
     world = SmallWorld(18)
     host = world.subscribe()
     world.settle()
@@ -290,33 +291,34 @@
     for number, store in enumerate(world.stores):
         if number != lagging:
             put_tenant(store, 0, ("a",), 9.0)
-    world.tell()
+    world.notify_replicas()
     other = world.stores[(lagging + 1) % 3]
     assert world.network.run(25, lambda: world.shows(host, other))
-    assert (serving.address, "lagging") in left_for(host)
+    assert (serving.address, "lagging") in departures(host)
     world.run(30)
     assert world.serving(host) is not serving  # it does not go back to an older version
     assert host.core.state.version == other.version
 
 
-def test_a_claim_that_is_not_so_costs_the_one_who_made_it() -> None:
-    """A replica that names a version which it never shows is not believed again and again."""
+def test_replica_with_a_false_claim_is_deprioritized() -> None:
+    """A replica that claims a version which it cannot deliver must not make the subscriber switch
+    repeatedly."""
     world = SmallWorld(19)
     host = world.subscribe()
     world.settle()
     serving = world.serving(host)
-    liar = next(replica for replica in world.replicas if replica is not serving)
-    honest = liar.core._on_audit
+    wrong_replica = next(replica for replica in world.replicas if replica is not serving)
+    honest = wrong_replica.core._on_audit
 
-    def boast(now: int, audit: wire.Audit, address: Address) -> None:
-        store = liar.core.source
-        liar.core.source = Boasting(store)
+    def claim_newer_version(now: int, audit: wire.Audit, address: Address) -> None:
+        store = wrong_replica.core.source
+        wrong_replica.core.source = OverstatingStore(store)
         honest(now, audit, address)
-        liar.core.source = store
+        wrong_replica.core.source = store
 
-    liar.core._on_audit = boast
+    wrong_replica.core._on_audit = claim_newer_version
     world.run(120)
-    assert host.core.choice.records[liar.address].wrong_answers
+    assert host.core.choice.records[wrong_replica.address].wrong_answers
     world.settle(30)
     leased = 0
     for _ in range(60):
@@ -325,8 +327,8 @@
     assert leased > 50
 
 
-class Boasting:
-    """A store that names a later version than it has."""
+class OverstatingStore:
+    """A store that reports a newer version than it has."""
 
     def __init__(self, store: ConfigStore) -> None:
         self.store = store
@@ -336,7 +338,7 @@
         return self.store.digest(scope)
 
 
-def test_a_part_that_does_not_add_up_is_not_shown_and_its_sender_is_left() -> None:
+def test_part_with_a_wrong_digest_is_rejected_and_its_replica_left() -> None:
     world = SmallWorld(20)
     host = world.subscribe()
     world.settle()
@@ -346,14 +348,15 @@
     world.stores[number].digest = lambda scope: real(scope) ^ 1  # type: ignore[method-assign]
     version = world.put(0, ("a",), 2.0)
     assert world.network.run(10, lambda: host.core.state.version == version)
-    assert (serving.address, "digest") in left_for(host)
+    assert (serving.address, "digest") in departures(host)
     assert world.serving(host) is not serving
     world.stores[number].digest = real  # type: ignore[method-assign]
     world.settle()
 
 
-def test_two_others_outvote_a_replica_whose_lie_adds_up() -> None:
-    """Its store has something else at a version that all have: the lease ends at once, all comes anew."""
+def test_two_replicas_outvote_one_with_wrong_data_and_a_valid_digest() -> None:
+    """The replica's store differs at a common version: the lease ends at once and all state is fetched
+    again."""
     world = SmallWorld(21, replicas=4)
     host = world.subscribe()
     world.settle()
@@ -365,29 +368,29 @@
             world.put(0, ("a",), 1.5, only=other)
     truth = world.stores[(number + 1) % 4]
     assert world.network.run(40, lambda: world.shows(host, truth))
-    assert (serving.address, "audit") in left_for(host)
+    assert (serving.address, "audit") in departures(host)
     assert host.core.choice.records[serving.address].wrong_answers
 
 
-def test_one_replica_that_contradicts_is_not_believed_against_others() -> None:
+def test_single_contradicting_replica_is_outvoted() -> None:
     world = SmallWorld(22, replicas=5)
     host = world.subscribe()
     world.settle()
     serving = world.serving(host)
-    liar = next(number for number, replica in enumerate(world.replicas) if replica is not serving)
+    wrong_replica = next(number for number, replica in enumerate(world.replicas) if replica is not serving)
     for number in range(5):
-        world.put(0, ("a",), 66.0 if number == liar else 1.5, only=number)
+        world.put(0, ("a",), 66.0 if number == wrong_replica else 1.5, only=number)
     honest = world.stores[world.replicas.index(serving)]
     world.run(120)
     assert world.serving(host) is serving
     assert world.shows(host, honest)
-    assert host.core.choice.records[world.replicas[liar].address].wrong_answers
+    assert host.core.choice.records[world.replicas[wrong_replica].address].wrong_answers
 
 
-# ---- other histories, other lives ----
+# ---- changes of history, replays, restarts ----
 
 
-def test_another_history_is_taken_only_without_a_lease() -> None:
+def test_history_changes_only_without_a_lease() -> None:
     world = SmallWorld(23, replicas=2)
     host = world.subscribe()
     world.settle()
@@ -398,23 +401,23 @@
         world.lineage[number] = 2
         world.network.kill(world.replicas[number])
         world.network.start(world.replicas[number])
-    went_back_at = None
+    changed_at = None
     for _ in range(300):
         held = world.leased(host)
         world.run(0.05)
-        if host.core.state.lineage == 2 and went_back_at is None:
-            went_back_at = world.network.now
+        if host.core.state.lineage == 2 and changed_at is None:
+            changed_at = world.network.now
             assert not held
-    assert world.stores[0].version < before and went_back_at is not None
+    assert world.stores[0].version < before and changed_at is not None
     world.settle()
 
 
-def test_a_hello_that_is_played_again_ends_no_session_and_draws_no_parts() -> None:
+def test_replayed_hello_neither_ends_a_session_nor_triggers_parts() -> None:
     world = SmallWorld(24, replicas=1)
-    tap = Tap(world)
+    log = DatagramLog(world)
     host = world.subscribe()
     world.settle()
-    hello = next(data for _, source, _, data in tap.sent if source is host)
+    hello = next(data for _, source, _, data in log.sent if source is host)
     assert isinstance(wire.decode(hello, SEAL), wire.Hello)
     world.network.kill(host)
     world.run(0.1)
@@ -422,25 +425,25 @@
     world.settle()
     replica: Replica = world.replicas[0].core
     session = replica.by_name[host.name]
-    tap.sent.clear()
+    log.sent.clear()
     stranger = world.subscribe(start=False)
     for _ in range(50):
         world.network.deliver(stranger.address, world.replicas[0], hello)
     assert replica.by_name[host.name] is session
-    assert not tap.messages(wire.Data, target=stranger)
+    assert not log.messages(wire.Data, target=stranger)
     world.run(5)
     assert replica.by_name[host.name] is session
 
 
-def test_datagrams_of_an_earlier_session_count_for_nothing() -> None:
-    """Everything that was ever sent to or by a subscriber is played again in its next session."""
+def test_replayed_datagrams_of_an_earlier_session_have_no_effect() -> None:
+    """All datagrams sent to or by a subscriber are replayed during its next session."""
     world = SmallWorld(25, replicas=1)
-    tap = Tap(world)
+    log = DatagramLog(world)
     host = world.subscribe()
     world.settle()
     world.put(0, ("a",), 2.0)
     world.settle()
-    recorded = list(tap.sent)
+    recorded = list(log.sent)
     world.network.kill(host)
     world.run(20)
     world.network.start(host)
@@ -457,13 +460,13 @@
     assert replica.by_name[host.name] is session and session.position == position
 
 
-def test_a_grant_counts_once_and_from_when_it_was_asked_for() -> None:
+def test_grant_counts_once_and_from_its_request() -> None:
     world = SmallWorld(26, replicas=1)
-    tap = Tap(world)
+    log = DatagramLog(world)
     host = world.subscribe()
     world.settle()
     world.run(2)
-    grant = [data for _, _, target, data in tap.sent if target is host][-1]
+    grant = [data for _, _, target, data in log.sent if target is host][-1]
     assert isinstance(wire.decode(grant, SEAL), wire.Grant)
     world.network.cut(host.name, "east", both=False)
     world.run(0.1)
@@ -474,15 +477,15 @@
     assert host.core.lease.fresh_at == fresh_at
 
 
-def test_a_grant_that_arrives_late_is_worth_less() -> None:
+def test_delayed_grant_gives_a_shorter_lease() -> None:
     world = SmallWorld(40, replicas=1)
     host = world.subscribe()
     world.settle()
-    tap = Tap(world)
+    log = DatagramLog(world)
     world.network.cut("replica-0", host.name, both=False)
-    assert world.network.run(2, lambda: bool(tap.messages(wire.Grant, target=host)))
-    asked_at = tap.sent[0][0]
-    grant = next(data for _, _, target, data in tap.sent if target is host)
+    assert world.network.run(2, lambda: bool(log.messages(wire.Grant, target=host)))
+    asked_at = log.sent[0][0]
+    grant = next(data for _, _, target, data in log.sent if target is host)
     world.run(1.2)
     world.network.cuts.clear()
     world.network.deliver(world.replicas[0].address, host, grant)
@@ -490,7 +493,7 @@
     assert ends <= asked_at + world.subscriber_options.lease
 
 
-def test_an_old_hello_does_not_end_a_session_that_begins() -> None:
+def test_stale_hello_does_not_end_a_newer_session() -> None:
     world = SmallWorld(41, replicas=1)
     replica: Replica = world.replicas[0].core
     now, address = world.network.clock(world.replicas[0]), ("10.9.9.9", 1)
@@ -510,38 +513,38 @@
     assert isinstance(wire.decode(out[-1][0], SEAL), wire.Grant)
 
 
-def test_a_hello_that_is_played_at_another_replica_draws_no_parts() -> None:
+def test_hello_replayed_to_another_replica_triggers_no_parts() -> None:
     world = SmallWorld(42, replicas=2)
-    tap = Tap(world)
+    log = DatagramLog(world)
     host = world.subscribe()
     world.settle()
-    hello = next(data for _, source, _, data in tap.sent if source is host)
+    hello = next(data for _, source, _, data in log.sent if source is host)
     other = next(replica for replica in world.replicas if replica is not world.serving(host))
     scope = pack_scope(host.core.scope)
     other.core.scopes.put(scope_digest(scope), host.core.scope)
     stranger = world.subscribe(start=False)
-    tap.sent.clear()
+    log.sent.clear()
     world.network.deliver(stranger.address, other, hello)
     world.run(5)
-    assert tap.messages(wire.Welcome, target=stranger)
-    assert not tap.messages(wire.Data, target=stranger)
+    assert log.messages(wire.Welcome, target=stranger)
+    assert not log.messages(wire.Data, target=stranger)
     assert not other.core.sessions
 
 
-def test_the_lease_of_a_process_that_stands_still_counts_though_its_name_has_a_new_session() -> None:
+def test_lease_of_a_paused_process_blocks_the_fence_after_its_name_opens_a_new_session() -> None:
     world = SmallWorld(43, replicas=1)
     host = world.subscribe()
     world.settle()
     world.run(6)
     world.network.stop(host)
-    twin = world.subscribe(start=False)
-    twin.name = host.name
-    world.network.start(twin)
+    successor = world.subscribe(start=False)
+    successor.name = host.name
+    world.network.start(successor)
     version = world.put(0, ("a",), 2.0)
-    assert world.network.run(3, lambda: bool(twin.core.state.version == version))
+    assert world.network.run(3, lambda: bool(successor.core.state.version == version))
     world.run(0.6)
     replica: Replica = world.replicas[0].core
-    assert replica.by_name[host.name].address == twin.address
+    assert replica.by_name[host.name].address == successor.address
     while world.leased(host):
         assert replica.fenced < version
         world.run(0.1)
@@ -551,8 +554,8 @@
 # ---- bounds ----
 
 
-def test_what_strangers_send_leaves_nothing_behind() -> None:
-    """HELLOs under ever other names, scopes that never come, and tokens that nobody gave out."""
+def test_datagrams_of_unknown_senders_leave_no_state() -> None:
+    """HELLOs under ever new names, scopes that are never sent, and tokens that were never issued."""
     options = ReplicaOptions(max_sessions=50)
     world = SmallWorld(27, replicas=1, replica=options)
     host = world.subscribe()
@@ -572,7 +575,7 @@
     assert world.leased(host)
 
 
-def test_a_session_keeps_to_its_budget_also_when_all_is_lost() -> None:
+def test_session_keeps_its_budget_when_all_datagrams_are_lost() -> None:
     world = SmallWorld(28, replicas=1, store=filled_store(tenants=600))
     sent: list[tuple[int, int]] = []
 
@@ -592,16 +595,16 @@
         assert total <= options.session_bytes + options.session_burst
 
 
-def test_nothing_is_sent_twice_that_has_arrived() -> None:
+def test_acknowledged_chunks_are_not_retransmitted() -> None:
     world = SmallWorld(29, replicas=1, store=filled_store(tenants=600))
-    tap = Tap(world)
+    log = DatagramLog(world)
     host = world.subscribe(Scope.everything())
     world.settle(60)
-    seen = [(m.transfer, m.number) for m in tap.messages(wire.Data, target=host) if isinstance(m, wire.Data)]
+    seen = [(m.transfer, m.number) for m in log.messages(wire.Data, target=host) if isinstance(m, wire.Data)]
     assert len(seen) == len(set(seen)) > 50
 
 
-def test_a_scope_that_is_none_opens_no_session() -> None:
+def test_invalid_scope_opens_no_session() -> None:
     world = SmallWorld(30, replicas=1)
     replica: Replica = world.replicas[0].core
     now = world.network.clock(world.replicas[0])
@@ -619,7 +622,7 @@
 # ---- catching up ----
 
 
-def test_who_comes_back_after_an_hour_gets_only_what_differs() -> None:
+def test_subscriber_returning_after_an_hour_receives_only_changes() -> None:
     world = SmallWorld(31, replicas=1, store=filled_store(tenants=400))
     host = world.subscribe(Scope(frozenset("abc")))
     world.settle(30)
@@ -629,31 +632,31 @@
         world.put(number % 12, (chr(ord("a") + number % 6),), 1.0 + number)
     world.run(3600)
     assert not world.leased(host)
-    tap = Tap(world)
+    log = DatagramLog(world)
     world.network.cuts.clear()
     world.settle(60)
-    sent = sum(len(m.chunk) for m in tap.messages(wire.Data, target=host) if isinstance(m, wire.Data))
+    sent = sum(len(m.chunk) for m in log.messages(wire.Data, target=host) if isinstance(m, wire.Data))
     whole = sum(len(r.body or b"") + 20 for r in host.core.state.resources())
     assert 0 < sent < whole / 3
 
 
-def test_catching_up_goes_on_at_another_replica_where_it_stopped() -> None:
+def test_catch_up_continues_at_another_replica() -> None:
     world = SmallWorld(32, replicas=2, store=filled_store(tenants=900))
     host = world.subscribe(Scope.everything())
-    tap = Tap(world)
+    log = DatagramLog(world)
     assert world.network.run(30, lambda: len(host.core.staging.resources) > 300)
     staged = dict(host.core.staging.resources)
     world.network.kill(world.serving(host))
     world.put(0, ("a",), 5.0)  # staged already
-    tap.sent.clear()
+    log.sent.clear()
     world.settle(60)
-    chunks = [m for m in tap.messages(wire.Data, target=host) if isinstance(m, wire.Data)]
+    chunks = [m for m in log.messages(wire.Data, target=host) if isinstance(m, wire.Data)]
     whole = len(pack_part(build_part(world.stores[0], Scope.everything(), NOTHING, 1 << 24)))
     left = 1 - len(staged) / len(host.core.state.resources())
     assert sum(len(m.chunk) for m in chunks) < whole * left + PART_BYTES / 2
 
 
-def test_nothing_is_shown_of_a_catching_up_that_is_not_whole() -> None:
+def test_incomplete_catch_up_is_not_shown() -> None:
     world = SmallWorld(33, replicas=1, store=filled_store(tenants=600))
     host = world.subscribe(Scope.everything())
     while host.core.state.version == 0:
@@ -663,7 +666,7 @@
     world.settle()
 
 
-def test_a_big_change_is_shown_at_once_and_the_old_version_until_then() -> None:
+def test_change_in_many_parts_is_applied_atomically() -> None:
     options = ReplicaOptions(part_bytes=300)
     world = SmallWorld(34, replicas=1, replica=options)
     host = world.subscribe(Scope.everything())
@@ -672,7 +675,7 @@
     world.network.cut(host.name, "east")
     body = encode_body(Tenant(("b",), 3.0))
     write(world.stores[0], tuple(Put(tenant_key(number), body) for number in range(50)))
-    world.tell()
+    world.notify_replicas()
     world.network.cuts.clear()
     staged = 0
     while host.core.state.version < world.stores[0].version:
@@ -684,7 +687,7 @@
     world.settle()
 
 
-def test_many_at_once_do_not_overrun_a_replica_and_each_is_served_in_time() -> None:
+def test_simultaneous_starts_stay_within_the_budget_and_are_all_served() -> None:
     options = ReplicaOptions(slots=5, bytes=40_000, datagrams=400)
     world = SmallWorld(35, replicas=1, store=filled_store(tenants=240), replica=options)
     for _ in range(60):
@@ -711,7 +714,7 @@
     assert max(hellos.values()) < 40  # not all in the same tenth of a second
 
 
-def test_who_waits_comes_back_with_a_jitter_of_its_own() -> None:
+def test_waiting_subscribers_retry_with_jitter() -> None:
     world = SmallWorld(36, replicas=1, replica=ReplicaOptions(slots=1), store=filled_store(tenants=300))
     first = world.subscribe(Scope.everything())
     world.run(1.5)
@@ -727,7 +730,7 @@
     assert len({at // MS for at in waiting}) > 8
 
 
-def test_a_replica_at_its_limit_sends_others_elsewhere() -> None:
+def test_replica_at_its_session_limit_refuses_further_subscribers() -> None:
     world = SmallWorld(37, replicas=2, replica=ReplicaOptions(max_sessions=3))
     for _ in range(6):
         world.subscribe()
@@ -735,7 +738,7 @@
     assert sorted(len(replica.core.by_name) for replica in world.replicas) == [3, 3]
 
 
-def test_what_is_left_of_an_end_that_was_said_is_no_name_behind() -> None:
+def test_subscriber_that_ends_with_a_bye_is_not_reported_as_behind() -> None:
     world = SmallWorld(38, replicas=1)
     host = world.subscribe()
     world.settle()
@@ -749,7 +752,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.1, 0.3])
-def test_changes_arrive_whatever_is_lost(loss: float) -> None:
+def test_changes_arrive_despite_loss(loss: float) -> None:
     world = SmallWorld(f"loss {loss}")
     for _ in range(4):
         world.subscribe()
@@ -760,20 +763,20 @@
         assert world.network.run(10, lambda: all(world.shows(host) for host in world.subscribers))
 
 
-def test_resources_outside_the_scope_are_not_taken() -> None:
+def test_resources_outside_the_scope_are_rejected() -> None:
     world = SmallWorld(39, replicas=2)
     host = world.subscribe()
     world.settle()
     serving = world.serving(host)
     number = world.replicas.index(serving)
     real = world.stores[number].changes_since
-    foreign = Resource(tenant_key(999), world.stores[0].version + 1, encode_body(Tenant(("f",))))
+    outside = Resource(tenant_key(999), world.stores[0].version + 1, encode_body(Tenant(("f",))))
     world.stores[number].changes_since = (  # type: ignore[method-assign]
-        lambda version, scope: (*real(version, scope), foreign)
+        lambda version, scope: (*real(version, scope), outside)
         if scope == host.core.scope
         else real(version, scope)
     )
     world.put(0, ("a",), 2.0)
     world.run(1)
-    assert (serving.address, "digest") in left_for(host)
+    assert (serving.address, "digest") in departures(host)
     assert host.core.state.get(tenant_key(999)) is None
--- a/tests/configuration/world.py
+++ b/tests/configuration/world.py
@@ -1,4 +1,4 @@
-"""A store beside the plain model, subscribers and a replica that follow it, and what has to hold always."""
+"""Model-based test of the store: a store and its model, followers that catch up, and the invariants."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 SCOPES.append(Scope(frozenset({"s0", "s2"})))
 MOST_TOMBSTONES = 5
 WINDOW = 8
-VERSIONS_BACK = 4  # from which the way to now is looked at in each step
+VERSIONS_BACK = 4  # earlier versions from which changes are checked in each step
 
 
 class StoreWorld:
@@ -62,12 +62,12 @@
         self.apply(Transaction(self.ident, "test", kept, tuple(sorted(deletes)), **more))
 
     def turn_class(self, name: str) -> None:
-        """A guarded change."""
+        """Starts a guarded change."""
         old = self.model.body(Key(Kind.CLASS, name))
         self.begin([put(Key(Kind.CLASS, name), UNSAFE if old == SAFE else SAFE)])
 
     def go_on(self, ident: int, aborts: bool) -> None:
-        """The next phase of what is under way."""
+        """Advances an open transaction to its next phase."""
         one = self.model.under_way[ident]
         if one.guarded and one.phase is Phase.PREPARED:
             self.apply(Advance(ident, Phase.JOINT))
@@ -84,7 +84,7 @@
         assert fresh.snapshot() == self.store.snapshot()
         self.store = fresh
 
-    # ---- who follows ----
+    # ---- followers ----
 
     def subscriber_catches_up(self, which: int) -> None:
         scope, version, held = self.followers[which]
@@ -119,14 +119,14 @@
             if not self.replica.snapshot_needed(seen) and not source.snapshot_needed(seen):
                 assert self.replica.changes_since(seen, scope) == source.changes_since(seen, scope)
 
-    # ---- what always holds ----
+    # ---- invariants ----
 
     def check(self) -> None:
-        self._is_as_the_model()
-        self._changes_lead_to_now()
-        self._nothing_is_kept_of_what_has_gone()
+        self._check_equal_to_model()
+        self._check_changes_from_earlier_versions()
+        self._check_no_leftovers()
 
-    def _is_as_the_model(self) -> None:
+    def _check_equal_to_model(self) -> None:
         assert self.store.version == self.model.version
         assert {r.key: r for r in self.store.index.live()} == self.model.view
         assert {i: p.phase for i, p in self.store.pending.items()} == {
@@ -134,7 +134,7 @@
         }
         assert {i: o.phase for i, o in self.store.outcomes.items()} == self.model.ends
 
-    def _changes_lead_to_now(self) -> None:
+    def _check_changes_from_earlier_versions(self) -> None:
         first = max(0, self.store.version - VERSIONS_BACK)
         for version in range(first, self.store.version):
             if self.store.snapshot_needed(version):
@@ -146,13 +146,13 @@
                 held |= {resource.key: resource for resource in found}
                 assert {k: r for k, r in held.items() if r.live} == cut(self.model.view, scope)
 
-    def _nothing_is_kept_of_what_has_gone(self) -> None:
+    def _check_no_leftovers(self) -> None:
         index, store = self.store.index, self.store
         live = list(index.live())
         assert len(live) == index.count
         assert len(index.tombstones) <= MOST_TOMBSTONES
         entries = sum(len(table.entries) for table in index.tables.values())
-        assert entries == sum(_places(resource) for resource in live) + len(index.tombstones)
+        assert entries == sum(_table_count(resource) for resource in live) + len(index.tombstones)
         bodies = [body for key in self.model.view if (body := self.model.body(key)) is not None]
         named = sum(len(names) for names in store.referrers.named.values())
         assert named == sum(len(set(references(body))) for body in bodies)
@@ -164,18 +164,19 @@
         assert len(store.outcomes) <= MOST_OUTCOMES
 
 
-def _places(resource: Resource) -> int:
-    """Tables that hold it: that of all, and of each service or of what concerns every one."""
+def _table_count(resource: Resource) -> int:
+    """How many tables hold it: the one of all resources, and those of its services or of resources for
+    all."""
     if Scope().matches(resource):
         return 2
     return 1 + sum(Scope(frozenset({name})).matches(resource) for name in SERVICES)
 
 
-# ---- drawn days ----
+# ---- random operations ----
 
 
 def random_put(random: Random) -> Put:
-    """A put of any kind."""
+    """A put of a random kind."""
     service, name = random.choice(SERVICES), random.choice(CLASSES)
     kind = random.choice(list(Kind))
     if kind is Kind.SERVICE:
@@ -197,20 +198,20 @@
 
 
 def step(world: StoreWorld, random: Random) -> None:
-    """Something happens."""
+    """Executes one random operation."""
     under_way = sorted(world.model.under_way)
-    dice = random.random()
-    if under_way and dice < 0.45:
+    draw = random.random()
+    if under_way and draw < 0.45:
         world.go_on(random.choice(under_way), random.random() < 0.25)
-    elif under_way and dice < 0.5:
+    elif under_way and draw < 0.5:
         world.apply(Advance(random.choice(under_way), random.choice(list(Phase))))
-    elif dice < 0.55:
+    elif draw < 0.55:
         world.restore()
-    elif dice < 0.6:
+    elif draw < 0.6:
         world.replica_catches_up()
-    elif dice < 0.65:
+    elif draw < 0.65:
         world.subscriber_catches_up(random.randrange(len(SCOPES)))
-    elif dice < 0.75:
+    elif draw < 0.75:
         world.turn_class(random.choice(CLASSES))
     else:
         _change(world, random)
@@ -229,7 +230,7 @@
 
 
 def play(seed: int, steps: int = 150) -> list[str]:
-    """What a drawn day breaks."""
+    """Executes a random sequence of operations; returns the violated invariant, if any."""
     world, random = StoreWorld(), Random(seed)
     try:
         for _ in range(steps):
