--- a/tests/configuration/test_campaign.py
+++ b/tests/configuration/test_campaign.py
@@ -1,4 +1,4 @@
-"""Drawn days of the control tier and its subscribers: the promises hold throughout, and all come back."""
+"""Randomized runs of the control tier and its subscribers: guarantees hold throughout, and all recover."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 import pytest
 
-from dykeshift.configuration.campaign import SMALL, play
+from dykeshift.configuration.campaign import SMALL_TIER, run_seed
 from dykeshift.configuration.checker import Checker
-from dykeshift.configuration.sessions import left_behind
+from dykeshift.configuration.sessions import subscribers_behind
 from dykeshift.configuration.tier import Tier
 
 SEEDS = range(8)
 
 
 def fenced(tier: Tier, version: int) -> bool:
-    """Whether the version is in force everywhere, and all control machines know it."""
+    """Whether the version is in force everywhere and all replicas have fenced it."""
     return tier.in_force(version) and all(h.core.replica.fenced >= version for h in tier.control)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_drawn_day_breaks_nothing_and_all_come_back(seed: int) -> None:
-    report = play(seed)
+def test_randomized_run_keeps_all_guarantees_and_recovers(seed: int) -> None:
+    report = run_seed(seed)
     assert not report.broken
     assert report.versions > 10 and sum(report.faults.values()) > 5
 
 
-def test_a_day_is_the_same_each_time() -> None:
-    assert play(3) == play(3)
+def test_run_is_deterministic() -> None:
+    assert run_seed(3) == run_seed(3)
 
 
-def test_all_at_once_from_nothing_and_a_change_is_in_force_everywhere() -> None:
-    tier = Tier("calm", SMALL)
+def test_simultaneous_start_without_state_and_changes_in_force_everywhere() -> None:
+    tier = Tier("calm", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
     tier.start_subscribers()
@@ -44,8 +44,8 @@
     assert not checker.broken
 
 
-def test_the_whole_tier_and_all_subscribers_start_again() -> None:
-    tier = Tier("again", SMALL)
+def test_restart_of_the_whole_tier_and_all_subscribers() -> None:
+    tier = Tier("again", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
     tier.start_subscribers()
@@ -60,8 +60,8 @@
     assert not checker.broken
 
 
-def test_the_regions_apart_the_side_with_the_voters_goes_on_and_the_other_is_degraded() -> None:
-    tier = Tier("apart", SMALL)
+def test_partition_between_regions_degrades_only_the_side_without_quorum() -> None:
+    tier = Tier("apart", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
     tier.start_subscribers()
@@ -82,15 +82,15 @@
     assert not checker.broken
 
 
-def test_those_left_behind_are_named_and_nobody_else() -> None:
-    tier = Tier("named", SMALL)
+def test_only_subscribers_that_are_behind_are_listed() -> None:
+    tier = Tier("named", SMALL_TIER)
     checker = Checker(tier)
     tier.start_control()
     tier.start_subscribers()
     assert tier.network.run(20, tier.settled)
     cut, dead, *others = tier.subscribers
-    remembered = {cut.core.address, dead.core.address}
-    moved = next(host for host in others if host.core.address not in remembered)
+    their_replicas = {cut.core.address, dead.core.address}
+    moved = next(host for host in others if host.core.address not in their_replicas)
     for region in ("east", "west"):
         tier.network.cut(cut.name, region)
     tier.network.kill(dead)
@@ -99,7 +99,7 @@
     tier.change_tenant(1, "service-003", 3.0)
     tier.network.run(6)
     version = tier.newest().version
-    rolls = [host.core.replica.roll for host in tier.control if host.up]
-    assert left_behind(rolls, version) == sorted((cut.name, dead.name))
+    trackers = [host.core.replica.progress for host in tier.control if host.up]
+    assert subscribers_behind(trackers, version) == sorted((cut.name, dead.name))
     assert moved.core.state.version == version
     assert not checker.broken
