--- a/dykeshift/rules.py
+++ b/dykeshift/rules.py
@@ -16,16 +16,16 @@
 
 from dykeshift.interface import NOT_RUN, Action, AttemptEnd, CallEnd, Cancel, Fail, Idempotency, ListKind
 from dykeshift.interface import LoadReport, Outcome, Refuse, Request, RequestClass, Scope, Send, ServerEntry
-from dykeshift.interface import ServerList, ServerState, SetTimer, Settings, Watch, Word
+from dykeshift.interface import ServerList, ServerState, SetTimer, Settings, Watch, FleetAgreement
 
 # ---- sampling and the pool ----
 
 # Servers sampled per request: enough to find an idle one, few enough to stay a sample.
-DRAW = 5
+SAMPLE_SIZE = 5
 # Smallest pool, as a multiple of the sample size, that one instance samples from in a large fleet.
-POOL_LEAST = 2
+MIN_POOL_SAMPLES = 2
 # Servers examined at most to find a sample. More would let the cost of a request grow with the fleet.
-MAX_EXAMINED = 10 * DRAW
+MAX_EXAMINED = 10 * SAMPLE_SIZE
 # Sampling for a request with less time left than this multiple of its expected latency covers all examined
 # servers, and the one expected to answer first is taken.
 SHORT_TIME_LATENCY_FACTOR = 3.0
@@ -95,16 +95,16 @@
 # ---- slow start of cold servers ----
 
 # Share of its estimated capacity that a server is certain to have, even if nothing is known of its kind.
-SAFETY = 0.5
+CERTAIN_CAPACITY_SHARE = 0.5
 # Standard deviations of the work in an overload window that the budget of a cold server leaves free.
-CHANCE = 4.5
+WORK_DEVIATIONS = 4.5
 # Share of that budget used at most, however large it is: the server may be a small one of its kind, and the
 # requests may be large.
-MOST_USED = 0.7
+MAX_BUDGET_SHARE = 0.7
 # Share of an overload window after which unused credit with a cold server lapses.
 CREDIT_WINDOW_SHARE = 0.5
 # Share of an overload window between two sweeps, which measure the request rate and drop servers that left.
-SWEEP_SHARE = 0.25
+SWEEP_WINDOW_SHARE = 0.25
 
 # ---- ejection of a server for one class ----
 
@@ -118,16 +118,16 @@
 
 # Nanoseconds after which a balancer counts as informed of a change in discovery, received or not. The
 # shares below are of this time, or of `Settings.ask_every` where that is shorter.
-TOLD = 6_000_000_000
+INFORMED_AFTER_NS = 6_000_000_000
 # Watches that broke at the same moment are reopened spread over this share.
-SPREAD = 0.25
+REOPEN_SPREAD_SHARE = 0.25
 # Least and longest pause after no connection came up. Short, as such a call costs discovery no work.
 UNREACHED_PAUSE_SHARES = 0.04, 0.33
 # Least and longest time from the start of a call that was rejected immediately, and so left no work, to the
 # next one.
 REJECTED_PAUSE_SHARES = 0.1, 0.4
 # The same after a call that timed out; the rest of the time is for the next connect and its answer.
-UNANSWERED = 0.5, 0.9
+UNANSWERED_PAUSE_SHARES = 0.5, 0.9
 # A call that fails within this share was rejected immediately.
 IMMEDIATE_END_SHARE = 0.05
 # From so many unanswered calls in a row on, the pause after one is multiplied by the second.
@@ -166,7 +166,7 @@
     """
 
     klass: RequestClass  # of a retired class: restricted to what the class in force under its name allows
-    usual: float  # running mean of the latency of good answers
+    mean_latency: float  # running mean of the latency of good answers
     sequence: int  # number in the order in which the classes came
     mean_cost_hint: float = 0.0  # running mean
     relative_worth: float = 1.0  # worth per unit of work, as a share of the highest of all classes
@@ -182,15 +182,15 @@
     concurrency_limit: float  # our attempts at it at the same time; below one, a share of the time
     pool_rank: float  # the servers with the lowest ranks form the pool
     credit: float  # attempts that it may still be sent while cold
-    credited: int  # value of `Balancer.arrived` when the credit was last increased
+    credited_at_request: int  # value of `Balancer.arrived` when the credit was last increased
     in_flight: int = 0
     limit_cut_at: int = 0
-    rest_until: int = 0
+    ejected_until: int = 0
     mean_latency_share: float = 0.0  # running mean of its answers' latency, as a share of the aim
     answered_since_idle: bool = True  # has answered something since it last had none of our attempts
     silent_since: int = 0  # when it last answered, or was first sent something after that
     has_answered: bool = False  # since its start
-    sure: bool = (
+    confirmed: bool = (
         True  # confirmed by a list received since our start; a cached one may be about its predecessor
     )
     latency_ratio: float = 1.0  # running mean of its answers' latency over the mean latency of their class
@@ -209,20 +209,20 @@
 
 
 @dataclass(slots=True, eq=False)
-class Open:
+class OpenRequest:
     """A request until it is answered and all its attempts have ended."""
 
     request: Request
     klass: RequestClass
     record: ClassRecord  # of its class, as long as the request is open
     arrived: int
-    most: int  # attempts allowed
+    max_attempts: int  # attempts allowed
     attempts: list[Attempt] = field(default_factory=list)
-    live: int = 0  # attempts in flight
+    attempts_in_flight: int = 0  # attempts in flight
     closed: bool = False  # its final answer is given
     streaming: bool = False
 
-    def anchor(self) -> Attempt | None:
+    def first_possibly_run(self) -> Attempt | None:
         """The first attempt that may have run: it determines where and until when a repeat may be sent."""
         return next((a for a in self.attempts if a.end not in NOT_RUN), None)
 
@@ -300,15 +300,15 @@
         self.pool: list[Server] = []  # the part of `ready` that this instance samples from
         self.cold: list[Server] = []  # may still be cold; all others stay warm
         self.banned: dict[int, int] = {}  # banned by an operator: since when
-        self.word = Word()  # what the fleet has agreed on
+        self.agreement = FleetAgreement()  # what the fleet has agreed on
         self.ended_bans: dict[int, tuple[int, int]] = {}  # when the ban began and ended
         self.groups: dict[tuple[Scope, int], list[Server]] = {}  # `ready` by scope, filled on demand
         # Whether `ready` is in the order of ranks; whether some server is known from a cached list only.
-        self.sorted = self.has_unconfirmed = False
+        self.ready_is_sorted = self.has_unconfirmed = False
         # Requests since the start, and up to the last sweep (retries not counted); number of sweeps.
         self.arrived = self.arrived_at_sweep = self.sweeps = 0
-        self.arrivals = 0.0  # requests in an overload window, running mean
-        self.open: dict[str, Open] = {}
+        self.requests_per_window = 0.0  # requests in an overload window, running mean
+        self.open: dict[str, OpenRequest] = {}
         # Indexed by place.
         self.records = [
             ClassRecord(c, c.aim * INITIAL_LATENCY_AIM_SHARE, n) for n, c in enumerate(settings.classes)
@@ -318,23 +318,23 @@
         self.settings_changes = 0
         self.server_replaced = False  # since the last sweep some server has restarted or left
         self.growth_latency_share = GROWTH_AIM_SHARE
-        self.admit = 1.0  # admitted share of requests: falls while most answers of the whole pool are slow
+        self.admitted_share = 1.0  # of requests: falls while most answers of the whole pool are slow
         # Overload estimate: rises while requests find no server with free capacity. Classes of less relative
         # worth than this wait.
-        self.crowd = 0.0
-        self.out = 0  # attempts in flight
+        self.overload = 0.0
+        self.attempts_in_flight = 0  # attempts in flight
         self.answered_share = 0.0  # share of the latest requests that a server answered
-        self.watching, self.asked = False, 0  # a watch of discovery is open; when it was begun
-        self.in_vain = 0  # calls in a row that discovery did not answer
+        self.watch_open, self.watch_opened_at = False, 0  # a watch of discovery is open; when it was begun
+        self.failed_calls = 0  # calls in a row that discovery did not answer
         self.longest_aim = max((c.aim for c in settings.classes), default=0)
         self.started = 0
         # Capacity of the pool in warm servers, cold ones counted by their warmth; mean weight of `ready`.
-        self.whole = self.mean_weight = 1.0
+        self.pool_capacity = self.mean_weight = 1.0
         self.terminating = False  # the process is to end: deadlines are its own, not the clients'
-        self.acts: list[Action] = []
+        self.pending_actions: list[Action] = []
 
     def _done(self) -> list[Action]:
-        acts, self.acts = self.acts, []
+        acts, self.pending_actions = self.pending_actions, []
         return acts
 
     # ---- settings ----
@@ -377,7 +377,7 @@
         if restrict_repeats is not None:
             for item in self.open.values():
                 item.klass = restrict_repeats(item.klass, terms.get(item.klass.name, item.klass))
-                item.most = min(item.most, settings.attempt_limit)
+                item.max_attempts = min(item.max_attempts, settings.attempt_limit)
         return self._done()
 
     def _inherit(self, klass: RequestClass, before: int | None) -> ClassRecord:
@@ -391,13 +391,15 @@
             for server, state in known.states.items()
             if state.failures
         }
-        return ClassRecord(klass, known.usual, self.classes_created, known.mean_cost_hint, states=failing)
+        return ClassRecord(
+            klass, known.mean_latency, self.classes_created, known.mean_cost_hint, states=failing
+        )
 
-    def on_word(self, now: int, word: Word) -> list[Action]:
+    def on_fleet_agreement(self, now: int, word: FleetAgreement) -> list[Action]:
         """What the fleet has agreed on besides the settings: the complete state, not a change."""
-        out, self.word = self.word.out, word
-        if out != word.out:
-            self._sort_out(now)
+        out, self.agreement = self.agreement.excluded_servers, word
+        if out != word.excluded_servers:
+            self._rebuild_ready(now)
         return self._done()
 
     def on_termination(self, now: int, answer_by: int) -> list[Action]:
@@ -410,7 +412,7 @@
             if item.closed or item.request.deadline <= answer_by:
                 continue
             item.request = replace(item.request, deadline=answer_by)
-            if not item.live and not item.streaming:
+            if not item.attempts_in_flight and not item.streaming:
                 self._wait_for_capacity(now, item)  # the recheck already scheduled may come too late
         return self._done()
 
@@ -428,19 +430,19 @@
 
         As all balancers move at the same moment, the call is spread like the reopening of a broken watch.
         """
-        self.in_vain = 0
+        self.failed_calls = 0
         if self.settings.ask_discovery:
-            self._ask_later(now, CallEnd.BROKEN)
+            self._schedule_watch(now, CallEnd.BROKEN)
         return self._done()
 
     def on_list(self, now: int, update: ServerList) -> list[Action]:
         """The list of servers, a change of it, or the failure of a call for it."""
         if update.kind is ListKind.FAILED:
             if self.settings.ask_discovery:
-                self._ask_later(now, update.end)
+                self._schedule_watch(now, update.end)
             return self._done()
         if update.kind is not ListKind.CACHED:
-            self.in_vain = 0
+            self.failed_calls = 0
         if update.kind is not ListKind.DELTA:
             listed = {e.id for e in update.entries}
             for server in self.servers.values():
@@ -448,7 +450,9 @@
                     server.entry = replace(server.entry, state=ServerState.GONE)
         # A server that is added later starts with the mean limit of the present ones.
         limits = [s.concurrency_limit for s in self.ready[:MAX_EXAMINED]]
-        initial = INITIAL_LIMIT / self._sharing(POOL_LEAST * DRAW, len(update.entries))
+        initial = INITIAL_LIMIT / self._instances_per_server(
+            MIN_POOL_SAMPLES * SAMPLE_SIZE, len(update.entries)
+        )
         limit = sum(limits) / len(limits) if limits else initial
         for entry in map(self._with_believed_start, update.entries):
             known = self.servers.get(entry.id)
@@ -459,34 +463,34 @@
         if self.has_unconfirmed or update.kind is ListKind.CACHED:
             self.has_unconfirmed = update.kind is ListKind.CACHED
             for server in self.servers.values():  # a delta, too, confirms all entries that it does not change
-                server.sure = not self.has_unconfirmed
-        self._sort_out(now)
+                server.confirmed = not self.has_unconfirmed
+        self._rebuild_ready(now)
         return self._done()
 
     def _new_server(self, entry: ServerEntry, limit: float) -> Server:
         self.server_replaced = True
         return Server(entry, limit, self.random(), self.random(), self.arrived)
 
-    def _sort_out(self, now: int) -> None:
+    def _rebuild_ready(self, now: int) -> None:
         """Determines the servers that the list and the operators allow to be sent to."""
         self.ready = [
             s
             for s in self.servers.values()
             if s.entry.state is ServerState.READY
             and s.entry.id not in self.banned
-            and s.entry.id not in self.word.out
+            and s.entry.id not in self.agreement.excluded_servers
         ]
         self.cold = [s for s in self.ready if self._cold(now, s)]
-        self.groups, self.sorted = {}, False
+        self.groups, self.ready_is_sorted = {}, False
         self.mean_weight = sum(s.entry.weight for s in self.ready) / max(1, len(self.ready)) or 1.0
-        self._gather(now)
+        self._rebuild_pool(now)
 
     # ---- bans by operators ----
 
     def on_ban(self, now: int, server: int) -> list[Action]:
         """Sends nothing new to the server until the ban ends, whether or not it is listed now."""
         self.banned.setdefault(server, now)
-        self._sort_out(now)
+        self._rebuild_ready(now)
         return self._done()
 
     def on_ban_end(self, now: int, server: int) -> list[Action]:
@@ -499,7 +503,7 @@
                 self.servers[server] = self._new_server(
                     self._with_believed_start(known.entry), known.concurrency_limit
                 )
-            self._sort_out(now)
+            self._rebuild_ready(now)
         return self._done()
 
     def _with_believed_start(self, entry: ServerEntry) -> ServerEntry:
@@ -507,16 +511,16 @@
         since, until = self.ended_bans.get(entry.id, (0, 0))
         return replace(entry, started=until) if until and entry.started <= since else entry
 
-    def avoided(self, now: int) -> int:
+    def excluded_count(self, now: int) -> int:
         """How many listed servers get nothing new now: banned, held out by the fleet, draining or ejected."""
-        barred = self.word.out | self.banned.keys()
+        barred = self.agreement.excluded_servers | self.banned.keys()
         return sum(
-            s.entry.id in barred or s.entry.state is ServerState.DRAINING or now < s.rest_until
+            s.entry.id in barred or s.entry.state is ServerState.DRAINING or now < s.ejected_until
             for s in self.servers.values()
             if s.entry.state is not ServerState.GONE
         )
 
-    def _ask_later(self, now: int, end: CallEnd) -> None:
+    def _schedule_watch(self, now: int, end: CallEnd) -> None:
         """Schedules the next watch, soon enough to receive a change before it counts as known here.
 
         The pause is random, as the calls of all balancers may fail at once. It is as long as that time
@@ -524,47 +528,53 @@
         sooner than that queue is worked off, every call in it has timed out before its turn and nobody ever
         gets a list; therefore the pause is longer after several unanswered calls in a row.
         """
-        self.watching = False
-        limit = min(TOLD, self.settings.ask_every)
+        self.watch_open = False
+        limit = min(INFORMED_AFTER_NS, self.settings.ask_every)
         since, factor = now, 1.0
         if end is CallEnd.BROKEN:
-            low, high = 0.0, SPREAD * (1 - 1 / self.settings.balancers)
+            low, high = 0.0, REOPEN_SPREAD_SHARE * (1 - 1 / self.settings.balancers)
         elif end is CallEnd.UNREACHED:
             low, high = UNREACHED_PAUSE_SHARES
         else:
             low, high = (
-                REJECTED_PAUSE_SHARES if now - self.asked < IMMEDIATE_END_SHARE * limit else UNANSWERED
+                REJECTED_PAUSE_SHARES
+                if now - self.watch_opened_at < IMMEDIATE_END_SHARE * limit
+                else UNANSWERED_PAUSE_SHARES
+            )
+            since, factor = (
+                self.watch_opened_at,
+                BACKOFF_FACTOR if self.failed_calls >= FAILED_CALLS_BEFORE_BACKOFF else 1.0,
             )
-            since, factor = self.asked, BACKOFF_FACTOR if self.in_vain >= FAILED_CALLS_BEFORE_BACKOFF else 1.0
-            self.in_vain += 1
+            self.failed_calls += 1
         at = since + int(limit * factor * (low + (high - low) * self.random()))
-        self.acts.append(SetTimer("watch", max(now + 1, at)))
+        self.pending_actions.append(SetTimer("watch", max(now + 1, at)))
 
     def _watch(self, now: int) -> None:
-        if not self.watching:
-            self.watching, self.asked = True, now
-            self.acts.append(Watch())
+        if not self.watch_open:
+            self.watch_open, self.watch_opened_at = True, now
+            self.pending_actions.append(Watch())
 
-    def _gather(self, now: int) -> None:
+    def _rebuild_pool(self, now: int) -> None:
         """Rebuilds the pool: no more servers than this instance has requests within the longest aim.
 
         So each is used about once in that time, which is how fast an overload can build up. If servers were
         used less often, what was learned of them (concurrency limit, latency, ejection) would be out of date,
         and nearly every request would need a new connection.
         """
-        if not self.sorted:
+        if not self.ready_is_sorted:
             self.ready.sort(key=lambda s: s.pool_rank)
-            self.sorted = True
-        size = self.arrivals * self.longest_aim / self.settings.overload_window
+            self.ready_is_sorted = True
+        size = self.requests_per_window * self.longest_aim / self.settings.overload_window
         if self.sweeps < 2:  # there is no mean yet: the pool grows with twice the requests so far
             size = max(size, 2 * self.arrived * min(1.0, self.longest_aim / max(1, now - self.started)))
-        self.pool = self.ready[: max(POOL_LEAST * DRAW, int(size))]
-        # Not below the share SAFETY: rates measured before the whole fleet went cold at once do not hold.
+        self.pool = self.ready[: max(MIN_POOL_SAMPLES * SAMPLE_SIZE, int(size))]
+        # Not below the share CERTAIN_CAPACITY_SHARE: rates measured before the whole fleet went cold at once
+        # do not hold.
         pooled = set(self.pool) if self.cold and len(self.pool) < len(self.ready) else None
         missing = sum(1 - self._warmth(now, s) for s in self.cold if pooled is None or s in pooled)
-        self.whole = max(len(self.pool) - missing, SAFETY * len(self.pool), 1.0)
+        self.pool_capacity = max(len(self.pool) - missing, CERTAIN_CAPACITY_SHARE * len(self.pool), 1.0)
 
-    def _sharing(self, pool: int, ready: int) -> float:
+    def _instances_per_server(self, pool: int, ready: int) -> float:
         """How many instances sample from one server, if all have pools of this size.
 
         Only these share its capacity. Divided by all balancers of a large fleet, a concurrency limit would be
@@ -574,25 +584,25 @@
 
     # ---- sampling ----
 
-    def _draw(self, now: int, item: Open) -> list[Server]:
-        """Samples servers that this request may be sent to: up to DRAW, at random without replacement.
+    def _sample(self, now: int, item: OpenRequest) -> list[Server]:
+        """Samples servers that this request may be sent to: up to SAMPLE_SIZE, at random without replacement.
 
         More if the request is short of time.
         """
         # Only few servers drop its repeats.
-        bound = item.klass.idempotency is Idempotency.KEYED and item.anchor()
-        pool = self._group(bound, item.klass.scope) if bound else self.pool
+        bound = item.klass.idempotency is Idempotency.KEYED and item.first_possibly_run()
+        pool = self._servers_in_scope(bound, item.klass.scope) if bound else self.pool
         picked, suspect, hanging, examined = (
             list[Server](),
             list[Server](),
             list[Server](),
             min(len(pool), MAX_EXAMINED),
         )
-        most = examined if self._short_of_time(now, item) else DRAW
+        most = examined if self._short_of_time(now, item) else SAMPLE_SIZE
         for i in range(examined):
             j = i + int(self.random() * (len(pool) - i))
             pool[i], pool[j] = pool[j], pool[i]
-            if self._allowed(now, item, pool[i]):
+            if self._server_allowed(now, item, pool[i]):
                 (
                     hanging
                     if self._hangs(now, item, pool[i])
@@ -603,9 +613,11 @@
                 if len(picked) == most:
                     break
         # A fault of most servers must not exclude them: suspect ones are used if they are more than half.
-        return picked if picked and len(suspect) * 2 <= examined else (picked + suspect or hanging)[:DRAW]
+        return (
+            picked if picked and len(suspect) * 2 <= examined else (picked + suspect or hanging)[:SAMPLE_SIZE]
+        )
 
-    def _group(self, anchor: Attempt, scope: Scope) -> list[Server]:
+    def _servers_in_scope(self, anchor: Attempt, scope: Scope) -> list[Server]:
         """The ready servers that drop repeats of this attempt."""
         entry = anchor.server.entry
         place = {Scope.ALL: 0, Scope.ZONE: entry.zone, Scope.CELL: entry.cell}[scope]
@@ -617,7 +629,7 @@
             ]
         return self.groups[scope, place]
 
-    def _hangs(self, now: int, item: Open, server: Server) -> bool:
+    def _hangs(self, now: int, item: OpenRequest, server: Server) -> bool:
         """Whether this class gets no answers from the server, even if others do: it is the last resort."""
         state = item.record.states.get(server)
         if state is None or not state.in_flight:
@@ -627,7 +639,7 @@
             or now - state.silent_since > HANG_THRESHOLD * HEDGE_LATENCY_FACTOR * self._expected(item)
         )
 
-    def _suspect(self, now: int, item: Open, server: Server) -> bool:
+    def _suspect(self, now: int, item: OpenRequest, server: Server) -> bool:
         """Whether the server is slow, stalled or hung: others go first, for requests that are sent only once.
 
         A server that was slow lately would be overloaded by more.
@@ -639,11 +651,11 @@
             or (server.in_flight > 0 and silence > HEDGE_LATENCY_FACTOR * self._expected(item))
         )
 
-    def _allowed(self, now: int, item: Open, server: Server) -> bool:
+    def _server_allowed(self, now: int, item: OpenRequest, server: Server) -> bool:
         """Whether the request may be sent to this server now."""
         if any(attempt.server is server for attempt in item.attempts):
             return False
-        anchor, scope = item.anchor(), item.klass.scope
+        anchor, scope = item.first_possibly_run(), item.klass.scope
         if (
             anchor is not None
             and item.klass.idempotency is Idempotency.KEYED
@@ -662,27 +674,27 @@
         # Without concurrency limits every server could hold more than it can finish in time.
         return (
             server.in_flight < server.concurrency_limit
-            and now >= server.rest_until
-            and self._cold_room(now, server)
+            and now >= server.ejected_until
+            and self._within_cold_budget(now, server)
         )
 
-    def _may_send(self, now: int, item: Open) -> bool:
-        """Whether the request may have one more attempt, at a server that `_allowed` accepts."""
-        if item.closed or item.streaming or len(item.attempts) >= item.most:
+    def _attempt_allowed(self, now: int, item: OpenRequest) -> bool:
+        """Whether the request may have one more attempt, at a server that `_server_allowed` accepts."""
+        if item.closed or item.streaming or len(item.attempts) >= item.max_attempts:
             return False
         end = item.request.deadline
         if not item.klass.late_share:
             end = min(end, item.arrived + item.klass.aim)
         if (
             now >= end
-            or (item.live and not self.settings.copies_allowed)
+            or (item.attempts_in_flight and not self.settings.copies_allowed)
             or not self._likely_to_finish(now, item)
         ):
             return False
-        anchor = item.anchor()
+        anchor = item.first_possibly_run()
         if anchor is None:
             return True
-        if self.word.doubtful:
+        if self.agreement.settings_uncertain:
             return False  # newer settings, known to others, may say that it must not run twice
         if item.klass.idempotency is Idempotency.SAFE:
             return True
@@ -693,7 +705,7 @@
             and now < anchor.sent + item.klass.window
         )
 
-    def _likely_to_finish(self, now: int, item: Open) -> bool:
+    def _likely_to_finish(self, now: int, item: OpenRequest) -> bool:
         """Whether an attempt that begins now is likely to be answered before the process ends.
 
         An attempt that is cut off may have run, so its request could not be refused for a retry elsewhere.
@@ -733,34 +745,36 @@
         record = self.records[request.klass]
         klass = record.klass
         most = request.attempts or self.settings.attempt_limit
-        item = self.open[request.id] = Open(request, klass, record, now, most)
+        item = self.open[request.id] = OpenRequest(request, klass, record, now, most)
         # Counting retries would enlarge the pool and fill the servers' connection tables.
         self.arrived += not request.retry
         if self.arrived == len(self.pool) and self.sweeps < 2:
             # A burst right after the start: the small initial pool would refuse some of its requests.
-            self._gather(now)
+            self._rebuild_pool(now)
         self.answered_share *= 1 - SMOOTHING_WEIGHT
         # Limits per server adapt too slowly to an overload of the whole pool if each server is used seldom.
-        admitted = self.random() < self.admit and klass.name not in self.word.closed
-        (self._place if admitted else self._give_up)(now, item)
+        admitted = self.random() < self.admitted_share and klass.name not in self.agreement.closed_classes
+        (self._dispatch if admitted else self._answer_without_server)(now, item)
         return self._done()
 
-    def _place(self, now: int, item: Open) -> None:
+    def _dispatch(self, now: int, item: OpenRequest) -> None:
         """Sends a request that has no attempt in flight, by RIQ, or lets it wait."""
         if not self._likely_to_finish(now, item):
-            self._give_up(now, item)
+            self._answer_without_server(now, item)
             return
-        if not self.out:  # our part of the overload is over, even if too few requests came since to show it
-            self.crowd *= 1 - 1 / self.settings.balancers
-        shed = self.crowd > item.record.relative_worth and not item.attempts
-        sample = [] if shed else self._draw(now, item)
+        if (
+            not self.attempts_in_flight
+        ):  # our part of the overload is over, even if too few requests came since to show it
+            self.overload *= 1 - 1 / self.settings.balancers
+        shed = self.overload > item.record.relative_worth and not item.attempts
+        sample = [] if shed else self._sample(now, item)
         # Requests shed here count as sent, so that a class of low worth that comes alone is not starved.
         if now == item.arrived:
-            self.crowd = min(
+            self.overload = min(
                 1.0,
                 max(
                     0.0,
-                    self.crowd + OVERLOAD_STEP * ((not sample and not shed) - OVERLOAD_TOLERATED_SHARE),
+                    self.overload + OVERLOAD_STEP * ((not sample and not shed) - OVERLOAD_TOLERATED_SHARE),
                 ),
             )
         if not sample:
@@ -773,17 +787,17 @@
             idle = new[:1]
         # Our zone first, otherwise in sample order.
         idle.sort(key=lambda s: s.entry.zone != self.settings.zone)
-        if self.word.preferred:
-            idle.sort(key=lambda s: s.entry.id not in self.word.preferred)
+        if self.agreement.preferred:
+            idle.sort(key=lambda s: s.entry.id not in self.agreement.preferred)
         copies = 1  # unless many servers are idle: a copy would take an idle one from the next request
         safe = (
             item.klass.idempotency is Idempotency.SAFE
             and self.settings.copies_allowed
-            and not self.word.doubtful
+            and not self.agreement.settings_uncertain
         )
         empty = [s for s in idle if not s.in_flight]
-        if safe and len(empty) * 2 > DRAW:
-            idle, copies = empty, max(1, item.most - 1 - len(item.attempts))
+        if safe and len(empty) * 2 > SAMPLE_SIZE:
+            idle, copies = empty, max(1, item.max_attempts - 1 - len(item.attempts))
         if self._short_of_time(now, item):
             # Take the server that is expected to answer first, after what it has of ours, idle or not.
             idle = sorted(
@@ -792,28 +806,28 @@
         idle = idle[:copies]
         for server in idle or [sample[int(self.random() * len(sample))]]:
             self._send(now, item, server)
-        self._watch_over(now, item)
+        self._schedule_hedge(now, item)
 
-    def _short_of_time(self, now: int, item: Open) -> bool:
+    def _short_of_time(self, now: int, item: OpenRequest) -> bool:
         return item.request.deadline - now < SHORT_TIME_LATENCY_FACTOR * self._expected(item)
 
-    def _watch_over(self, now: int, item: Open) -> None:
+    def _schedule_hedge(self, now: int, item: OpenRequest) -> None:
         """Schedules a delayed copy."""
-        if item.klass.idempotency is not Idempotency.UNSAFE and self._may_send(now, item):
+        if item.klass.idempotency is not Idempotency.UNSAFE and self._attempt_allowed(now, item):
             wait = int(
                 max(HEDGE_LATENCY_FACTOR * self._expected(item), MIN_HEDGE_DELAY_AIM_SHARE * item.klass.aim)
             )
-            self.acts.append(SetTimer("r:" + item.request.id, now + wait))
+            self.pending_actions.append(SetTimer("r:" + item.request.id, now + wait))
 
-    def _expected(self, item: Open) -> float:
+    def _expected(self, item: OpenRequest) -> float:
         """Expected latency: the mean of the class, scaled by the request's cost hint."""
         record, hint = item.record, item.request.cost_hint
-        return record.usual * (hint / record.mean_cost_hint if hint and record.mean_cost_hint else 1.0)
+        return record.mean_latency * (hint / record.mean_cost_hint if hint and record.mean_cost_hint else 1.0)
 
-    def _hedge(self, now: int, item: Open) -> None:
+    def _hedge(self, now: int, item: OpenRequest) -> None:
         """Sends a delayed copy, so that a stalled server does not make all its requests late."""
-        if self._may_send(now, item):
-            sample = self._draw(now, item)
+        if self._attempt_allowed(now, item):
+            sample = self._sample(now, item)
             copy = next((s for s in sample if self._idle(now, s)), None)
             last = max(a.sent for a in item.attempts)
             # The answer may be lost.
@@ -824,12 +838,12 @@
                 )
             if copy is not None:
                 self._send(now, item, copy)
-            self._watch_over(now, item)
+            self._schedule_hedge(now, item)
 
-    def _send(self, now: int, item: Open, server: Server) -> None:
-        item.attempts.append(Attempt(server, now, server.sure))
-        item.live += 1
-        self.out += 1
+    def _send(self, now: int, item: OpenRequest, server: Server) -> None:
+        item.attempts.append(Attempt(server, now, server.confirmed))
+        item.attempts_in_flight += 1
+        self.attempts_in_flight += 1
         server.in_flight += 1
         if server.answered_since_idle and server.in_flight == 1:
             server.silent_since, server.answered_since_idle = now, False
@@ -845,20 +859,20 @@
         timeout = 0 if item.klass.late_share else item.arrived + item.klass.aim - now
         # An attempt that waits for a connection or is half written must not be completed once servers may
         # have forgotten its key: neither a repeat after the first attempt, nor the first after a repeat.
-        anchor = item.anchor() if item.klass.idempotency is Idempotency.KEYED else None
+        anchor = item.first_possibly_run() if item.klass.idempotency is Idempotency.KEYED else None
         begin_by = anchor.sent + item.klass.window if anchor else 0
-        self.acts.append(Send(item.request.id, server.entry.id, timeout, begin_by))
+        self.pending_actions.append(Send(item.request.id, server.entry.id, timeout, begin_by))
 
-    def _wait_for_capacity(self, now: int, item: Open) -> None:
+    def _wait_for_capacity(self, now: int, item: OpenRequest) -> None:
         """No server has free capacity: samples again soon, and gives up once the aim cannot be met."""
         need = int(MIN_TIME_LATENCY_FACTOR * self._expected(item))
         until = min(item.request.deadline - self.settings.step, item.arrived + item.klass.aim - need)
-        barred = (self.banned or self.word.out) and not self.ready
-        if now >= until or not self._may_send(now, item) or barred:
-            self._give_up(now, item)
+        barred = (self.banned or self.agreement.excluded_servers) and not self.ready
+        if now >= until or not self._attempt_allowed(now, item) or barred:
+            self._answer_without_server(now, item)
             return
         again = now + int(item.klass.aim * RECHECK_AIM_SHARE)
-        self.acts.append(SetTimer("r:" + item.request.id, max(now + 1, min(again, until))))
+        self.pending_actions.append(SetTimer("r:" + item.request.id, max(now + 1, min(again, until))))
 
     # ---- answer, cancel, retry ----
 
@@ -869,13 +883,13 @@
             return []
         attempt = item.attempts[end.attempt]
         attempt.end = end.outcome
-        item.live -= 1
-        self.out -= 1
+        item.attempts_in_flight -= 1
+        self.attempts_in_flight -= 1
         self._record_end(now, item, attempt.server, end)
         if end.final and not item.closed:
             self._close(item)
-        elif not item.closed and not item.live:
-            (self._place if self._may_send(now, item) else self._give_up)(now, item)
+        elif not item.closed and not item.attempts_in_flight:
+            (self._dispatch if self._attempt_allowed(now, item) else self._answer_without_server)(now, item)
         self._forget(item)
         return self._done()
 
@@ -894,37 +908,37 @@
             self._close(item)
         return self._done()
 
-    def _close(self, item: Open) -> None:
+    def _close(self, item: OpenRequest) -> None:
         item.closed = True
         self._cancel_others(item, -1)
         self._forget(item)
 
-    def _cancel_others(self, item: Open, keep: int) -> None:
+    def _cancel_others(self, item: OpenRequest, keep: int) -> None:
         out = [n for n, a in enumerate(item.attempts) if a.end is None and n != keep]
-        self.acts += [Cancel(item.request.id, n) for n in out if self.settings.cancel_allowed]
+        self.pending_actions += [Cancel(item.request.id, n) for n in out if self.settings.cancel_allowed]
 
-    def _forget(self, item: Open) -> None:
-        if item.closed and not item.live:
+    def _forget(self, item: OpenRequest) -> None:
+        if item.closed and not item.attempts_in_flight:
             self.open.pop(item.request.id, None)
 
-    def _give_up(self, now: int, item: Open) -> None:
+    def _answer_without_server(self, now: int, item: OpenRequest) -> None:
         """Gives a final answer without a server's: `Refuse` if a retry does no harm, else `Fail`."""
         kind = item.klass.idempotency
         everywhere = kind is Idempotency.KEYED and item.klass.scope is Scope.ALL
-        known = (kind is Idempotency.SAFE or everywhere) and not self.word.doubtful
-        harmless = item.anchor() is None or known
+        known = (kind is Idempotency.SAFE or everywhere) and not self.agreement.settings_uncertain
+        harmless = item.first_possibly_run() is None or known
         rid = item.request.id
-        self.acts.append(Refuse(rid, self._advice(item)) if harmless else Fail(rid))
+        self.pending_actions.append(Refuse(rid, self._retry_after(item)) if harmless else Fail(rid))
         self._close(item)
 
-    def _advice(self, item: Open) -> int:
+    def _retry_after(self, item: OpenRequest) -> int:
         """When to retry: soon, while that can still be in time; later if few requests are admitted."""
-        advice = item.klass.aim * RETRY_ADVICE_AIM_SHARE / min(1.0, self.admit)
+        advice = item.klass.aim * RETRY_ADVICE_AIM_SHARE / min(1.0, self.admitted_share)
         return int(min(advice, self.settings.retry_advice_limit))
 
     # ---- what is learned from the end of an attempt ----
 
-    def _record_end(self, now: int, item: Open, server: Server, end: AttemptEnd) -> None:
+    def _record_end(self, now: int, item: OpenRequest, server: Server, end: AttemptEnd) -> None:
         self._update_server(now, item, server, end)
         server.in_flight -= 1
         record = item.record
@@ -938,18 +952,18 @@
             server.silent_since, server.answered_since_idle = now, True
         if end.outcome is Outcome.OK:
             # It can do more than the guaranteed least.
-            server.has_answered, server.credit = True, server.credit + SAFETY
+            server.has_answered, server.credit = True, server.credit + CERTAIN_CAPACITY_SHARE
             server.latency_ratio += SERVER_SMOOTHING_WEIGHT * (
-                min(end.latency / max(1, record.usual), 4.0) - server.latency_ratio
+                min(end.latency / max(1, record.mean_latency), 4.0) - server.latency_ratio
             )
-            record.usual += SMOOTHING_WEIGHT * (end.latency - record.usual)
+            record.mean_latency += SMOOTHING_WEIGHT * (end.latency - record.mean_latency)
             hint = item.request.cost_hint
             record.mean_cost_hint += (SMOOTHING_WEIGHT if record.mean_cost_hint else 1.0) * (
                 hint - record.mean_cost_hint
             )
             self.answered_share += SMOOTHING_WEIGHT
 
-    def _update_class_state(self, now: int, item: Open, state: ClassState, end: AttemptEnd) -> None:
+    def _update_class_state(self, now: int, item: OpenRequest, state: ClassState, end: AttemptEnd) -> None:
         state.in_flight -= 1
         if end.outcome in SERVER_ANSWERS or end.outcome is Outcome.RESET:
             state.silent_since = now
@@ -961,7 +975,7 @@
                 backoff = item.klass.aim * 2 ** min(state.failures - HANG_THRESHOLD, MAX_BACKOFF_DOUBLINGS)
                 state.backoff_until = now + int(backoff * (0.5 + self.random()))
 
-    def _update_server(self, now: int, item: Open, server: Server, end: AttemptEnd) -> None:
+    def _update_server(self, now: int, item: OpenRequest, server: Server, end: AttemptEnd) -> None:
         """Adjusts the admitted share and the server's latency, concurrency limit and ejection."""
         share = end.latency / item.klass.aim
         quick = share <= QUICK_AIM_SHARE
@@ -972,9 +986,9 @@
         # A single stall, or a copy cancelled early, and no overload.
         stall = end.outcome in LATE_OUTCOMES and (quick or self._says_free(now, server))
         if end.outcome in LATE_OUTCOMES and not stall:
-            self.admit = max(MIN_ADMISSION, self.admit - ADMISSION_STEP_DOWN)
+            self.admitted_share = max(MIN_ADMISSION, self.admitted_share - ADMISSION_STEP_DOWN)
         if end.outcome is Outcome.OK and quick:
-            self.admit = min(MAX_ADMISSION, self.admit + ADMISSION_STEP_UP)
+            self.admitted_share = min(MAX_ADMISSION, self.admitted_share + ADMISSION_STEP_UP)
             if (
                 server.in_flight > server.concurrency_limit - 1
                 and share <= self.growth_latency_share
@@ -982,13 +996,13 @@
             ):
                 # A limit below one is a share of the time. It grows in proportion to itself, as it is cut,
                 # however many instances there are.
-                grow = LIMIT_GROWTH / self._sharing(len(self.pool), len(self.ready))
+                grow = LIMIT_GROWTH / self._instances_per_server(len(self.pool), len(self.ready))
                 server.concurrency_limit += min(
                     max(MIN_RECOVERY_RATE, grow) * server.concurrency_limit, grow / server.concurrency_limit
                 )
         elif not stall and end.outcome is not Outcome.NOT_SENT:
             # Errors count like late answers: quick errors would otherwise make the server look free.
-            usual = item.record.usual
+            usual = item.record.mean_latency
             # One slow phase affects all attempts at it: it counts once.
             if now - server.limit_cut_at >= usual:
                 server.limit_cut_at = now
@@ -1000,10 +1014,10 @@
             if end.outcome is Outcome.CONNECT_FAILED:
                 # Dead, or all its connections are taken by other balancers: left to them.
                 server.pool_rank += 1
-                self.sorted = False
+                self.ready_is_sorted = False
             # A limit below one: ejects the server for a time, so that one attempt of each of many balancers
             # does not overload it.
-            server.rest_until = max(server.rest_until, now + int(ejection))
+            server.ejected_until = max(server.ejected_until, now + int(ejection))
 
     # ---- slow start of cold servers ----
 
@@ -1017,38 +1031,41 @@
         cold = self.settings.cold_share
         return cold + (1 - cold) * max(0, now - server.entry.started) / self.settings.cold_time
 
-    def _cold_room(self, now: int, server: Server) -> bool:
+    def _within_cold_budget(self, now: int, server: Server) -> bool:
         """Whether a cold server may be sent one more attempt without all balancers together overloading it.
 
         Credit grows with each request. A warm server answers some amount of work on average; of that amount
         times `overload_multiple` times its warmth the cold server gets, from each instance, at most the part
-        that `_used` returns, and so no more than that part from all together. Credit starts at random, so
-        that instances whose share is far below one attempt a window take turns. Unused credit lapses.
+        that `_usable_budget_share` returns, and so no more than that part from all together. Credit starts at
+        random, so that instances whose share is far below one attempt a window take turns. Unused credit
+        lapses.
         """
         if not self._cold(now, server):
             return True
         # Not 0, or no server would get a first attempt.
         served = max(self.answered_share, INITIAL_LIMIT / self.settings.balancers)
         rate = self.settings.overload_multiple * self._warmth(now, server) * served
-        rate *= server.entry.weight / self.mean_weight / self.whole
-        rate *= self._used(rate * self.arrivals * self._sharing(len(self.pool), len(self.ready)))
-        server.credit += rate * (self.arrived - server.credited)
-        server.credited = self.arrived
-        most = 1 + rate * self.arrivals * CREDIT_WINDOW_SHARE
+        rate *= server.entry.weight / self.mean_weight / self.pool_capacity
+        rate *= self._usable_budget_share(
+            rate * self.requests_per_window * self._instances_per_server(len(self.pool), len(self.ready))
+        )
+        server.credit += rate * (self.arrived - server.credited_at_request)
+        server.credited_at_request = self.arrived
+        most = 1 + rate * self.requests_per_window * CREDIT_WINDOW_SHARE
         if server.credit > most:
             server.credit = most if most > 2 else server.credit % 1
         return server.credit >= 1
 
     @staticmethod
-    def _used(limit: float) -> float:
+    def _usable_budget_share(limit: float) -> float:
         """The part u of a budget of `limit` requests a window that may be used in spite of random variation.
 
-        Solves u + CHANCE x sqrt(u / limit) = 1 for u: the second term is the variation of the work of that
-        many requests with exponentially distributed sizes. CHANCE is one and a half times what those need, as
-        real sizes may vary more and are unknown.
+        Solves u + WORK_DEVIATIONS x sqrt(u / limit) = 1 for u: the second term is the variation of the work
+        of that many requests with exponentially distributed sizes. WORK_DEVIATIONS is one and a half times
+        what those need, as real sizes may vary more and are unknown.
         """
-        deviation = float(CHANCE / max(limit, 1.0) ** 0.5)
-        return min(MOST_USED, float((deviation * deviation + 4) ** 0.5 - deviation) ** 2 / 4)
+        deviation = float(WORK_DEVIATIONS / max(limit, 1.0) ** 0.5)
+        return min(MAX_BUDGET_SHARE, float((deviation * deviation + 4) ** 0.5 - deviation) ** 2 / 4)
 
     # ---- timers ----
 
@@ -1056,32 +1073,36 @@
         """A timer has fired; tokens of requests that are answered are ignored."""
         if token == "sweep":
             self._sweep(now)
-            self.acts.append(SetTimer("sweep", now + int(self.settings.overload_window * SWEEP_SHARE)))
+            self.pending_actions.append(
+                SetTimer("sweep", now + int(self.settings.overload_window * SWEEP_WINDOW_SHARE))
+            )
         elif token == "watch":
             self._watch(now)
         elif token.startswith("r:"):
             item = self.open.get(token[2:])
             if item is not None and not item.closed:
-                (self._hedge if item.live else self._place)(now, item)
+                (self._hedge if item.attempts_in_flight else self._dispatch)(now, item)
         return self._done()
 
     def _sweep(self, now: int) -> None:
         """Updates the request rate, the pool and the overload response, and drops servers that left."""
         self.sweeps += 1
         weight = max(SMOOTHING_WEIGHT, 1 / max(1, self.sweeps - 1))  # a plain mean of the first few sweeps
-        self.arrivals += weight * ((self.arrived - self.arrived_at_sweep) / SWEEP_SHARE - self.arrivals)
+        self.requests_per_window += weight * (
+            (self.arrived - self.arrived_at_sweep) / SWEEP_WINDOW_SHARE - self.requests_per_window
+        )
         self.arrived_at_sweep = self.arrived
         self.cold = [s for s in self.cold if self._cold(now, s)]
-        self._gather(now)
+        self._rebuild_pool(now)
         # In an overload only quicker answers raise limits, which would otherwise grow until all servers are
         # overloaded. While servers warm up, more capacity is on its way, and larger limits bridge that time.
         self.growth_latency_share = GROWTH_AIM_SHARE * (
-            WARM_UP_GROWTH_FACTOR if self.cold else 1 - OVERLOAD_GROWTH_CUT * self.crowd
+            WARM_UP_GROWTH_FACTOR if self.cold else 1 - OVERLOAD_GROWTH_CUT * self.overload
         )
         self._update_relative_worth()
         # Nothing tells us of an overload, but others may see one, and all would admit at once.
-        if not self.out:
-            self.admit += max(0.0, 1 - self.admit) / self.settings.balancers
+        if not self.attempts_in_flight:
+            self.admitted_share += max(0.0, 1 - self.admitted_share) / self.settings.balancers
         self.ended_bans = {
             n: ban for n, ban in self.ended_bans.items() if now < ban[1] + self.settings.cold_time
         }
@@ -1110,7 +1131,7 @@
         """Worth of each class per unit of work; the more `fairness` weighs, the less the classes differ."""
         in_force, by_work = self.records_in_force, self.settings.worth_by_work
         worths = [max(record.klass.worth, 1e-9) for record in in_force]
-        costs = [1.0 if by_work else record.usual for record in in_force]
+        costs = [1.0 if by_work else record.mean_latency for record in in_force]
         cost, worth = sum(costs), sum(worths)
         per_work = [one / costs[n] * cost / worth for n, one in enumerate(worths)]
         fair, best = self.settings.fairness * len(in_force), max(per_work, default=1.0)
--- a/dykeshift/scale/engine_costs.py
+++ b/dykeshift/scale/engine_costs.py
@@ -19,7 +19,7 @@
 
 from dykeshift.clock import SystemClock
 from dykeshift.engine import config
-from dykeshift.engine.discovery import MAX_LIST, Reader, number_of
+from dykeshift.engine.discovery import MAX_LIST_BYTES, ListReader, instance_number
 from dykeshift.engine.driver import Driver
 from dykeshift.engine.http_carrier import HttpCarrier
 from dykeshift.engine.upstream import Pool
@@ -82,7 +82,7 @@
         self.pool = Pool(self.loop, self.clock, carrier, CONNECTIONS, CONNECT_S, KEEPALIVE_S)
         self.balancer = Balancer(settings, seed)
         self.driver = Driver(self.loop, self.clock, self.balancer, self.pool, lambda: None)
-        self.reader = Reader(self.clock, shape.zone_names(), ("standard",))
+        self.reader = ListReader(self.clock, shape.zone_names(), ("standard",))
         self.generation = 0
 
     def __enter__(self) -> ListPath:
@@ -91,7 +91,7 @@
     def __exit__(
         self, kind: type[BaseException] | None, exc: BaseException | None, trace: TracebackType | None
     ) -> None:
-        self.pool.sweeper.cancel()
+        self.pool.sweep_timer.cancel()
         self.loop.close()
 
     def take(self, text: bytes) -> None:
@@ -127,15 +127,18 @@
 
 def faults_of(path: ListPath, truth: Mapping[str, Instance]) -> list[str]:
     """Where what the daemon holds differs from who is listed, once it has settled; empty: nowhere."""
-    numbers = {number_of(name): instance for name, instance in truth.items()}
+    numbers = {instance_number(name): instance for name, instance in truth.items()}
     homes = {number: instance.address for number, instance in numbers.items()}
     ready = {number for number, one in numbers.items() if one.lifecycle == "active"}
     started = {number for number, one in numbers.items() if one.started_ms}
     entries = path.balancer.servers.values()
     held: dict[str, tuple[Any, Any]] = {
         "upstreams of the pool": ({n: u.address for n, u in path.pool.upstreams.items()}, homes),
-        "homes": (path.driver.tenants.home, homes),
-        "addresses": ({a: e.id for a, e in path.driver.tenants.at.items()}, {a: n for n, a in homes.items()}),
+        "homes": (path.driver.tenants.address_of, homes),
+        "addresses": (
+            {a: e.id for a, e in path.driver.tenants.tenant_at.items()},
+            {a: n for n, a in homes.items()},
+        ),
         "upstreams that run": (path.driver.ready, ready),
         "the module's servers": (set(path.balancer.servers), set(homes)),
         "the module's servers that run": (
@@ -301,7 +304,7 @@
 
         def sweeps() -> None:
             for _ in range(CALLS):
-                path.pool.sweeper.cancel()
+                path.pool.sweep_timer.cancel()
                 path.pool.sweep()
 
         return timed(ROUNDS, lambda: sweeps, CALLS)
@@ -316,7 +319,7 @@
 
         def look() -> None:
             for _ in range(CALLS):
-                path.pool._room()
+                path.pool._make_room()
 
         return timed(ROUNDS, lambda: look, CALLS)
 
@@ -361,7 +364,7 @@
         return work(str(file))
 
 
-LIST_LIMIT = f"the reader takes at most {MAX_LIST / BYTES_PER_MB:.1f} MB"
+LIST_LIMIT = f"the reader takes at most {MAX_LIST_BYTES / BYTES_PER_MB:.1f} MB"
 NO_ROUTES = "routes and tenants are keys that no reader knows; nothing is decided by them"
 
 
--- a/dykeshift/scale/membership.py
+++ b/dykeshift/scale/membership.py
@@ -46,7 +46,7 @@
         self.given = config.parse(raw, peering=True)
         self.features = features.Features(tuple(_parts(life.options)))
         self.parts = assemble(life.loop, life.clock, self.given, self._load)
-        self.offers = features.Offers()
+        self.offers = features.ConsoleCalls()
         self.services: list[features.Service] = []
 
     def _load(self) -> config.Config:
@@ -85,7 +85,7 @@
 
     def version_in_force(self) -> int:
         """Of the settings that it acts on alone."""
-        self.versions.look()
+        self.versions.rules_stamp()
         acts = self.versions.core.acts
         return acts.version if acts.mode == "in force" else 0
 
@@ -93,7 +93,7 @@
         """Its picture of the fleet and of the settings."""
         member, voter = self.view.view, self.agree.core.voter
         now = self.life.clock.monotonic_ns()
-        self.versions.look()
+        self.versions.rules_stamp()
         acts, book = self.versions.core.acts, self.versions.core.book
         said = [member.budget.sent, self.agree.core.shared.budget.sent]
         return MemberState(
@@ -118,7 +118,7 @@
         def done(status: int, body: bytes) -> None:
             answered(int(json.loads(body)["version"]) if status == 200 else None)
 
-        order = self.offers.orders[b"PUT", b"/settings/propose"]
+        order = self.offers.deferred_calls[b"PUT", b"/settings/propose"]
         order(json.dumps({"settings": change, "by": "scale"}).encode(), done)
 
     # ---- starting settled ----
--- a/dykeshift/scale/module_costs.py
+++ b/dykeshift/scale/module_costs.py
@@ -11,7 +11,7 @@
 from functools import cache, partial
 from random import Random
 
-from dykeshift.engine.discovery import number_of
+from dykeshift.engine.discovery import instance_number
 from dykeshift.interface import (
     AttemptEnd,
     ListKind,
@@ -55,7 +55,7 @@
     """The list as the module is told it at the start: all run, all started long ago."""
     zones = {name: number for number, name in enumerate(population.shape.zone_names())}
     return tuple(
-        ServerEntry(number_of(one.id), zones[one.zone], one.cell, 0, ServerState.READY, one.weight, 0)
+        ServerEntry(instance_number(one.id), zones[one.zone], one.cell, 0, ServerState.READY, one.weight, 0)
         for one in population.first
     )
 
--- a/dykeshift/settings.py
+++ b/dykeshift/settings.py
@@ -10,11 +10,11 @@
 from dykeshift.interface import Idempotency, LoadReport, RequestClass, Scope, Settings
 
 
-class Malformed(Exception):
+class MalformedError(Exception):
     """An invalid message; the exception's text is meant for operators."""
 
 
-class SettingsError(Malformed):
+class SettingsError(MalformedError):
     """The settings lack a key or have an invalid value."""
 
 
@@ -30,29 +30,29 @@
 }
 
 
-def need(table: dict[str, Any], key: str, path: str) -> Any:
+def required(table: dict[str, Any], key: str, path: str) -> Any:
     """The value of a key; raises `SettingsError` with its path if it is missing."""
     if not isinstance(table, dict) or key not in table:
         raise SettingsError(f"settings lack {path}{key}")
     return table[key]
 
 
-def word(table: dict[str, Any], text: Any, what: str) -> Any:
-    """The value that an enumerated text stands for; raises `Malformed` if the text is unknown."""
+def enum_value(table: dict[str, Any], text: Any, what: str) -> Any:
+    """The value that an enumerated text stands for; raises `MalformedError` if the text is unknown."""
     try:
         return table[text]
     except (KeyError, TypeError):
-        raise Malformed(f"{what} is {text!r}, expected one of {', '.join(table)}") from None
+        raise MalformedError(f"{what} is {text!r}, expected one of {', '.join(table)}") from None
 
 
-def positive(value: Any, what: str) -> int:
+def positive_int(value: Any, what: str) -> int:
     """A number above zero, truncated to an integer; raises `SettingsError` for others, also true and NaN."""
     if type(value) not in (int, float) or not math.isfinite(value) or int(value) <= 0:
         raise SettingsError(f"{what} is {value!r}, expected a positive number")
     return int(value)
 
 
-def narrower(one: RequestClass, other: RequestClass) -> RequestClass:
+def restrict_repeats(one: RequestClass, other: RequestClass) -> RequestClass:
     """The first class, restricted to the repeats that both allow, so that neither's terms are violated."""
     if one.idempotency is not other.idempotency:
         return replace(one, idempotency=Idempotency.UNSAFE)
@@ -76,39 +76,45 @@
 
 def parse_settings(raw: Any) -> Settings:
     """Settings from parsed JSON. Unknown keys are ignored; the error for a missing key has its path."""
-    limits, rules = need(raw, "bounds", ""), need(raw, "obligations", "")
-    ask = need(raw, "discovery", "") == "ask"
-    every = positive(need(rules, "askEveryNs", "obligations."), "obligations.askEveryNs") if ask else 0
+    limits, rules = required(raw, "bounds", ""), required(raw, "obligations", "")
+    ask = required(raw, "discovery", "") == "ask"
+    every = (
+        positive_int(required(rules, "askEveryNs", "obligations."), "obligations.askEveryNs") if ask else 0
+    )
     try:
         worst = min(0.99, float(raw.get("goal", {}).get("worstClass", 0.0)))
         classes = tuple(
             RequestClass(
                 name=str(c.get("name", n)),
-                aim=positive(need(c, "goalTimeNs", f"services[{n}]."), f"services[{n}].goalTimeNs"),
-                deadline=positive(need(c, "deadlineNs", f"services[{n}]."), f"services[{n}].deadlineNs"),
-                worth=float(need(c, "worth", f"services[{n}].")),
+                aim=positive_int(required(c, "goalTimeNs", f"services[{n}]."), f"services[{n}].goalTimeNs"),
+                deadline=positive_int(
+                    required(c, "deadlineNs", f"services[{n}]."), f"services[{n}].deadlineNs"
+                ),
+                worth=float(required(c, "worth", f"services[{n}].")),
                 late_share=float(c.get("lateShare", 0.0)),
-                idempotency=word(_IDEMPOTENCY, need(c, "idempotency", f"services[{n}]."), "idempotency"),
-                scope=word(_SCOPES, c.get("group", "all"), "group"),
+                idempotency=enum_value(
+                    _IDEMPOTENCY, required(c, "idempotency", f"services[{n}]."), "idempotency"
+                ),
+                scope=enum_value(_SCOPES, c.get("group", "all"), "group"),
                 window=int(c.get("windowNs", 0)),
                 stream=bool(c.get("stream", False)),
             )
-            for n, c in enumerate(need(raw, "services", ""))
+            for n, c in enumerate(required(raw, "services", ""))
         )
         return Settings(
             classes=classes,
-            balancers=max(1, int(need(raw, "balancers", ""))),
+            balancers=max(1, int(required(raw, "balancers", ""))),
             zone=int(raw.get("az", 0)),
             ask_discovery=ask,
             ask_every=every,
-            attempt_limit=positive(need(limits, "maxAttempts", "bounds."), "bounds.maxAttempts"),
-            copies_allowed=bool(need(limits, "secondCopies", "bounds.")),
-            cancel_allowed=bool(need(limits, "cancelling", "bounds.")),
-            cold_share=float(need(rules, "coldFrom", "obligations.")),
-            cold_time=int(need(rules, "coldNs", "obligations.")),
-            overload_multiple=float(need(rules, "tipMultiple", "obligations.")),
-            overload_window=int(need(rules, "fallNs", "obligations.")),
-            answer_slack=int(need(rules, "answerSlackNs", "obligations.")),
+            attempt_limit=positive_int(required(limits, "maxAttempts", "bounds."), "bounds.maxAttempts"),
+            copies_allowed=bool(required(limits, "secondCopies", "bounds.")),
+            cancel_allowed=bool(required(limits, "cancelling", "bounds.")),
+            cold_share=float(required(rules, "coldFrom", "obligations.")),
+            cold_time=int(required(rules, "coldNs", "obligations.")),
+            overload_multiple=float(required(rules, "tipMultiple", "obligations.")),
+            overload_window=int(required(rules, "fallNs", "obligations.")),
+            answer_slack=int(required(rules, "answerSlackNs", "obligations.")),
             step=int(raw.get("stepNs", 0)),
             worth_by_work=raw.get("valueBy") == "work",
             fairness=worst / (1 - worst),
--- a/dykeshift/shares/wire.py
+++ b/dykeshift/shares/wire.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from dykeshift.view.wire import SEAL, VERSION, Bad, Seal, unseal
+from dykeshift.view.wire import SEAL_SIZE, VERSION, DatagramError, Seal, unseal
 
 HEAD = struct.Struct(">BBHHII")
 ASK, GRANT = struct.Struct(">III"), struct.Struct(">II")
@@ -74,13 +74,13 @@
     elif isinstance(message, Grant):
         kind, body = Kind.GRANT, GRANT.pack(message.request_id, message.amount)
     data = HEAD.pack(VERSION, kind, seal.tag, message.number, message.birth, message.token) + body
-    return data + seal.of(data)
+    return data + seal.mac(data)
 
 
 def decode(data: bytes, seal: Seal) -> Message:
-    """Decodes a datagram; raises Bad if it is not a valid message of this fleet."""
+    """Decodes a datagram; raises DatagramError if it is not a valid message of this fleet."""
     kind, number, birth, token = unseal(data, seal, HEAD, HEAD.size)
-    body = data[HEAD.size : -SEAL]
+    body = data[HEAD.size : -SEAL_SIZE]
     try:
         if kind == Kind.ASK:
             return Ask(number, birth, token, *ASK.unpack(body))
@@ -90,4 +90,4 @@
             return Return(number, birth, token)
     except struct.error:
         pass
-    raise Bad("form")
+    raise DatagramError("form")
--- a/dykeshift/sim/day.py
+++ b/dykeshift/sim/day.py
@@ -572,7 +572,7 @@
             "requests in the module": len(driver.balancer.open),
             "connections to senders": driver.pool.open,
             "clients": len(node.front.clients),
-            "clients counted as served": node.front.served,
+            "clients counted as served": node.front.answered_clients,
             "connects": len(driver.pool.connecting),
             "descriptors": len(process.sockets),
             "timers": process.loop.pending_timers(),
--- a/dykeshift/sim/installation.py
+++ b/dykeshift/sim/installation.py
@@ -16,7 +16,7 @@
 from dykeshift.node.__main__ import serve
 from dykeshift.node.features import NONE, Features
 from dykeshift.node.mllp import Options
-from dykeshift.settings import Malformed
+from dykeshift.settings import MalformedError
 from dykeshift.sim import referee as rules
 from dykeshift.sim.kernel import MS, SECOND, Host, Process, VirtualClock
 from dykeshift.sim.loop import Program, virtual_listen
@@ -261,7 +261,7 @@
     def _load(self) -> config.Config:
         try:
             return config.parse(self.raw)
-        except Malformed as exc:
+        except MalformedError as exc:
             raise config.ConfigError(f"bad configuration: {exc}") from None
 
     def _features(self) -> Features:
--- a/dykeshift/sim/operators.py
+++ b/dykeshift/sim/operators.py
@@ -110,7 +110,7 @@
             return
         now = self.simulation.world.now
         recent = node.front.loop.time() - 0.5  # readiness probes open new connections all the time
-        idle = [client for client in node.front.clients if client.between() and client.since < recent]
+        idle = [client for client in node.front.clients if client.is_idle() and client.since < recent]
         if idle and not self.simulation.excuse(node.name, now - SECOND, now - SECOND, now):
             self.simulation.checker.breach(
                 rules.DRAINED, now, f"{node.name} holds {len(idle)} idle connections"
--- a/dykeshift/sim/views.py
+++ b/dykeshift/sim/views.py
@@ -25,7 +25,7 @@
         for node in running:
             self.last_running[node.name] = now
         views = [(node, view) for node in running if (view := node.view()) is not None]
-        holding = sum(view.standing.holds and not self._stalled(node, now) for node, view in views)
+        holding = sum(view.standing.holds_lease and not self._stalled(node, now) for node, view in views)
         recent = sum(now - at <= DETECTION_LIMIT for at in self.last_running.values())
         for node, view in views:
             if view.standing.at_most < holding:
--- a/dykeshift/store/log.py
+++ b/dykeshift/store/log.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from dykeshift.store.files import Files, Handle
-from dykeshift.store.records import FILE_HEADER_BYTES, Scan, encode, file_head, scan
+from dykeshift.store.records import FILE_HEADER_BYTES, Scan, encode, file_header, scan
 
 
 class LogError(Exception):
@@ -58,7 +58,7 @@
             found = scan(data, self.kind) if data is not None else Scan(end=0)
             self._handle = self.files.append(self.name, found.end)
             if found.end < FILE_HEADER_BYTES:
-                self._handle.write(file_head(self.kind))
+                self._handle.write(file_header(self.kind))
                 self._handle.sync()
                 found.end = FILE_HEADER_BYTES
         except OSError as exc:
@@ -93,7 +93,7 @@
         """Atomically replace the whole content by these payloads."""
         if self.failed is not None or self._handle is None:
             raise LogError(self.failed or "the log is not open")
-        data = file_head(self.kind) + b"".join(encode(payload) for payload in payloads)
+        data = file_header(self.kind) + b"".join(encode(payload) for payload in payloads)
         try:
             self.files.replace(self.name, data)
             self._handle.close()
--- a/dykeshift/store/records.py
+++ b/dykeshift/store/records.py
@@ -42,7 +42,7 @@
     holes: list[tuple[int, int]] = field(default_factory=list)  # lost ranges: begin and end
 
 
-def file_head(kind: bytes) -> bytes:
+def file_header(kind: bytes) -> bytes:
     """The header of a log file; `kind` is two bytes that identify the type of its payloads."""
     if len(kind) != 2:
         raise ValueError("a kind must be two bytes")
@@ -63,7 +63,7 @@
 def scan(data: bytes, kind: bytes) -> Scan:
     """Read a whole file. Raises LogFormatError if it is no log of this kind and version."""
     found = Scan()
-    head = file_head(kind)
+    head = file_header(kind)
     if len(data) <= FILE_HEADER_BYTES and data != head:
         found.end, found.torn = 0, len(data)  # damaged while it was created: it never had a record
         return found
--- a/dykeshift/store/segments.py
+++ b/dykeshift/store/segments.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class RecoveredSegment:
     """What opening one file found."""
 
     number: int
@@ -39,12 +39,12 @@
     def _name(self, number: int) -> str:
         return f"{self.stem}-{number:08d}.log"
 
-    def open(self) -> list[Found]:
+    def open(self) -> list[RecoveredSegment]:
         """Read all files, oldest first, and prepare to append.
 
         Appends go to the newest file, or to a new one if the newest is full or has lost data.
         """
-        prefix, found = f"{self.stem}-", list[Found]()
+        prefix, found = f"{self.stem}-", list[RecoveredSegment]()
         for name in sorted(self.files.names()):
             digits = name.removeprefix(prefix).removesuffix(".log")
             if not name.startswith(prefix) or not name.endswith(".log") or not digits.isdecimal():
@@ -52,7 +52,7 @@
             self.log = Log(self.files, name, self.kind)
             self.number = int(digits)
             self.numbers.append(self.number)
-            found.append(Found(self.number, self.log.open()))
+            found.append(RecoveredSegment(self.number, self.log.open()))
             self.log.close()
         if found and found[-1].recovered.whole and self.log is not None and self.log.size < self.full:
             self.log.open()
--- a/dykeshift/versions/core.py
+++ b/dykeshift/versions/core.py
@@ -25,7 +25,7 @@
 from dykeshift.versions.own import Own
 from dykeshift.versions.terms import contradicts
 from dykeshift.versions.wire import MAX_SERVERS, Leaving, Message, Report, Verdict, decode
-from dykeshift.view.wire import Bad, Seal
+from dykeshift.view.wire import DatagramError, Seal
 
 FANOUT = 2  # balancers that each announcement of leaving servers is sent to
 
@@ -113,7 +113,7 @@
         """Handles a datagram of another balancer; invalid ones are dropped and counted by reason."""
         try:
             message = decode(data, seal)
-        except Bad as exc:
+        except DatagramError as exc:
             self._count_dropped(str(exc))
             return
         if message.number == self.number:
--- a/dykeshift/versions/force.py
+++ b/dykeshift/versions/force.py
@@ -21,7 +21,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from dykeshift.interface import Idempotency, Settings, Word
+from dykeshift.interface import FleetAgreement, Idempotency, Settings
 from dykeshift.settings import SettingsError
 from dykeshift.versions.book import Book, Pending, Phase
 from dykeshift.versions.changes import Ban, Propose, unpack
@@ -176,12 +176,12 @@
         }
 
 
-def word(acts: Acts, numbers: dict[str, int], leaving: frozenset[int] = frozenset()) -> Word:
+def word(acts: Acts, numbers: dict[str, int], leaving: frozenset[int] = frozenset()) -> FleetAgreement:
     """Returns what the decision module gets besides the settings.
 
     `numbers`: of servers, by name. `leaving`: servers that are leaving by other balancers' lists. Banned
     servers are not included: the module gets them as bans."""
-    return Word(
+    return FleetAgreement(
         leaving | frozenset(numbers[n] for n in acts.wary if n in numbers),
         frozenset(numbers[n] for n in acts.preferred if n in numbers),
         acts.closed,
--- a/dykeshift/versions/terms.py
+++ b/dykeshift/versions/terms.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from dykeshift.interface import Idempotency, RequestClass, Scope, Settings
-from dykeshift.settings import narrower
+from dykeshift.settings import restrict_repeats
 
 
 class FieldKind(Enum):
@@ -109,7 +109,7 @@
 
     Its OWN and FREE fields are those of the first."""
     first, second = live(one), live(other)
-    classes = [narrower(c, second[name]) if name in second else c for name, c in first.items()]
+    classes = [restrict_repeats(c, second[name]) if name in second else c for name, c in first.items()]
     classes += [c for name, c in second.items() if name not in first]
     changed = {
         name: term.meet(getattr(one, name), getattr(other, name))
--- a/dykeshift/versions/wire.py
+++ b/dykeshift/versions/wire.py
@@ -9,8 +9,8 @@
              answers 4, bad answers 4, length of the reason 1, the reason in UTF-8
     LEAVING  number 2, generation 8, then 8 bytes for each server up to the end
 
-Decoding any bytes gives a message or raises `Bad`. Replayed reports are harmless: the counter identifies the
-newest report of an incarnation, and only the newest incarnation of a number counts.
+Decoding any bytes gives a message or raises `DatagramError`. Replayed reports are harmless: the counter
+identifies the newest report of an incarnation, and only the newest incarnation of a number counts.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from dykeshift.view.wire import MOST, SEAL, VERSION, Bad, Seal, unseal
+from dykeshift.view.wire import MAX_DATAGRAM, SEAL_SIZE, VERSION, DatagramError, Seal, unseal
 
 HEAD = struct.Struct(">BBHII")
 REPORT = struct.Struct(">HIIIBBIIB")
 LEAVING = struct.Struct(">HQ")
 FIRST_KIND = 64
 MAX_REASON = 150  # bytes of the encoded reason
-MAX_SERVERS = (MOST - SEAL - HEAD.size - LEAVING.size) // 8  # that fit into one datagram
+MAX_SERVERS = (MAX_DATAGRAM - SEAL_SIZE - HEAD.size - LEAVING.size) // 8  # that fit into one datagram
 
 
 class Kind(IntEnum):
@@ -111,13 +111,13 @@
             + LEAVING.pack(message.number, message.generation)
             + b"".join(server.to_bytes(8, "big") for server in servers)
         )
-    return data + seal.of(data)
+    return data + seal.mac(data)
 
 
 def decode(data: bytes, seal: Seal) -> Message:
-    """Decodes a datagram; raises Bad if it is not a valid message of this fleet."""
+    """Decodes a datagram; raises DatagramError if it is not a valid message of this fleet."""
     kind, history, birth = unseal(data, seal, HEAD, HEAD.size)
-    body = data[HEAD.size : -SEAL]
+    body = data[HEAD.size : -SEAL_SIZE]
     try:
         if kind == Kind.REPORT:
             number, counter, version, pending, verdict, mode, answers, bad, length = REPORT.unpack_from(body)
@@ -149,4 +149,4 @@
             )
     except (ValueError, IndexError, struct.error):
         pass
-    raise Bad("form")
+    raise DatagramError("form")
--- a/dykeshift/view/bounds.py
+++ b/dykeshift/view/bounds.py
@@ -31,7 +31,7 @@
 
     at_least: int = 1
     at_most: int = 1
-    holds: bool = False
+    holds_lease: bool = False
 
 
 @dataclass(slots=True)
@@ -87,7 +87,7 @@
 
     def presumed_address(self, member: Member) -> Address | None:
         """The address that its number stands for, if its list of peers is as long as this process's."""
-        number, tier = member.entry.number, member.entry.tier
+        number, tier = member.entry.number, member.entry.peer_count
         return self.peers[number] if tier == len(self.peers) > number else None
 
     def evaluate(self, now: int, table: Table, in_contact: bool, others_alive: int) -> Standing:
--- a/dykeshift/view/core.py
+++ b/dykeshift/view/core.py
@@ -25,9 +25,27 @@
 from typing import Any
 
 from dykeshift.view.bounds import Bounds, Standing
-from dykeshift.view.news import Budget, News
-from dykeshift.view.table import WORD, Address, Member, Table, bucket, life, mark, rank
-from dykeshift.view.wire import BUCKETS, FLAG_BULK, FLAG_HOLDS_LEASE, FLAG_REPLY, MOST, NOBODY, Bad, Entry
+from dykeshift.view.news import Budget, UpdateQueue
+from dykeshift.view.table import (
+    REFUTATION_BITS,
+    Address,
+    Member,
+    Table,
+    bucket,
+    generation,
+    entry_digest,
+    rank,
+)
+from dykeshift.view.wire import (
+    BUCKETS,
+    FLAG_BULK,
+    FLAG_HOLDS_LEASE,
+    FLAG_REPLY,
+    MAX_DATAGRAM,
+    UNNUMBERED,
+    DatagramError,
+    Entry,
+)
 from dykeshift.view.wire import Kind, Message, Seal, State, decode, encode, entry_space, pack_entry
 
 PHASES = (0.0, 0.3, 0.6)  # fractions of a period at which a member is probed: once, and two retries
@@ -55,18 +73,18 @@
 # The fraction of the budget that each priority leaves for the higher ones.
 RESERVE = {ANSWER: 0.0, PROBE: 0.1, RELAY: 0.2, GOSSIP: 0.35, DISCOVERY: 0.5}
 
-Out = list[tuple[bytes, Address]]
+Outgoing = list[tuple[bytes, Address]]
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Times in nanoseconds; `datagrams` and `size` (bytes) are the budget per second."""
+    """Times in nanoseconds; `datagrams_per_second` and `bytes_per_second` are the budget."""
 
     period: int = 500_000_000
     lease: int = 30_000_000_000
     drift: float = 0.01
-    datagrams: float = 24.0
-    size: float = 5000.0
+    datagrams_per_second: float = 24.0
+    bytes_per_second: float = 5000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,11 +132,11 @@
         """
         self.options, self.seal, self.me = options, seal, me
         self.peers, self.broadcast, self.rng = peers, broadcast, rng
-        self.table, self.news = Table(), News()
+        self.table, self.news = Table(), UpdateQueue()
         self.bounds = Bounds(options.lease, options.drift, peers, own)
-        self.budget = Budget(options.datagrams, options.size, RESERVE)
+        self.budget = Budget(options.datagrams_per_second, options.bytes_per_second, RESERVE)
         self.dropped: dict[str, int] = {}
-        self.out: Out = []
+        self.out: Outgoing = []
         self.events: list[Event] = []
         self.periods = self.phase = 0
         self.stall_count = self.last_stall_period = 0  # the period in which it last stalled
@@ -144,14 +162,14 @@
 
     # ---- calls of the host ----
 
-    def start(self, now: int) -> Out:
+    def start(self, now: int) -> Outgoing:
         """Begin the protocol; to be called once, before all else."""
-        self.budget.at = self.bounds.started_at = self.changed_at = self.settled_at = now
+        self.budget.refilled_at = self.bounds.started_at = self.changed_at = self.settled_at = now
         self.next_at = now
         self._reset_contact(now)
         return self.on_timer(now)
 
-    def on_timer(self, now: int) -> Out:
+    def on_timer(self, now: int) -> Outgoing:
         """To be called at `next_at` or later. More than STALL periods late counts as a stall."""
         if now < self.next_at:
             return self._take_output()
@@ -167,26 +185,26 @@
         self._emit_changes(now)
         return self._take_output()
 
-    def on_datagram(self, now: int, data: bytes, address: Address) -> Out:
+    def on_datagram(self, now: int, data: bytes, address: Address) -> Outgoing:
         """Process a received datagram."""
         self._notice_stall(now)
         try:
             message = decode(data, self.seal)
-        except Bad as exc:
+        except DatagramError as exc:
             self._count_drop(str(exc))
             return self._take_output()
         self._receive(now, message, address)
         self._emit_changes(now)
         return self._take_output()
 
-    def on_settings(self, now: int, settings: int) -> Out:
+    def on_settings(self, now: int, settings: int) -> Outgoing:
         """Announce the digest of the settings that this process acts on from now on."""
         if settings != self.me.settings:
             self.me = replace(self.me, settings=settings)
             self._raise_incarnation(now)
         return self._take_output()
 
-    def leave(self, now: int) -> Out:
+    def leave(self, now: int) -> Outgoing:
         """Announce that this process ends: to a few members, who gossip it, and by broadcast, if any."""
         if not self.yielded:
             self.me = replace(self.me, incarnation=self.me.incarnation + 1, state=State.LEFT)
@@ -216,7 +234,7 @@
         events, self.events = self.events, []
         return events
 
-    def _take_output(self) -> Out:
+    def _take_output(self) -> Outgoing:
         out, self.out = self.out, []
         return out
 
@@ -241,7 +259,7 @@
         """Queue a datagram if the budget allows it. `fill`: piggyback as many updates as fit."""
         if address is None or (self.yielded and kind is not Kind.ACK):
             return False
-        if not self.budget.allows(now, priority, MOST):
+        if not self.budget.allows(now, priority, MAX_DATAGRAM):
             self._count_drop("budget")
             return False
         first = entries or []
@@ -252,8 +270,8 @@
         )
         packed = self.news.take(space, len(self.table.members) + 1) if fill else []
         self.seq += 1
-        digest = self.table.digest() ^ mark(self.me)
-        flags |= FLAG_HOLDS_LEASE * self.standing.holds
+        digest = self.table.digest() ^ entry_digest(self.me)
+        flags |= FLAG_HOLDS_LEASE * self.standing.holds_lease
         data = encode(
             Message(
                 kind,
@@ -439,7 +457,7 @@
     # ---- changes of the table ----
 
     def _set_state(self, now: int, member: Member, state: State) -> None:
-        entry = self.table.turn(member, state, now)
+        entry = self.table.set_state(member, state, now)
         self._after_change(now, member, entry)
 
     def _after_change(self, now: int, member: Member, entry: Entry, spread: bool = True) -> None:
@@ -496,7 +514,7 @@
         if count == TWIN_REPORTS:
             self._report_twin(now, entry.birth)
         if not self.yielded:  # an earlier run of this process, perhaps when the wall clock was ahead
-            self.me = replace(self.me, incarnation=(life(entry.incarnation) + 1) << WORD)
+            self.me = replace(self.me, incarnation=(generation(entry.incarnation) + 1) << REFUTATION_BITS)
             self._raise_incarnation(now)
 
     def _report_twin(self, now: int, birth: int) -> None:
@@ -636,7 +654,7 @@
 
     def _compare_digests(self, now: int, message: Message, address: Address, answers: bool) -> None:
         """`answers`: the message answers a probe of this process, so it has not been queued for long."""
-        if message.digest == self.table.digest() ^ mark(self.me):
+        if message.digest == self.table.digest() ^ entry_digest(self.me):
             self.matching.add(message.name)
             self.beliefs_confirmed = (
                 self.beliefs_confirmed or answers and bool(message.flags & FLAG_HOLDS_LEASE)
@@ -650,7 +668,7 @@
     def _bucket_sums(self) -> tuple[int, ...]:
         """The sums of the table with this process itself in it, as the others have them."""
         sums = list(self.table.short_sums())
-        sums[bucket(self.me.name)] ^= mark(self.me) & 0xFFFFFFFF
+        sums[bucket(self.me.name)] ^= entry_digest(self.me) & 0xFFFFFFFF
         return tuple(sums)
 
     def _answer_sums(self, now: int, message: Message, address: Address) -> None:
@@ -678,10 +696,10 @@
         alone = self.bounds.places(self.table) == 1  # no other can be at work, so no answer is needed
         in_contact = not self.yielded and (alone or self._answered_recently(now))
         standing = self.bounds.evaluate(now, self.table, in_contact, self._count_alive(now))
-        if (standing.at_least, standing.at_most, standing.holds) != (
+        if (standing.at_least, standing.at_most, standing.holds_lease) != (
             self.standing.at_least,
             self.standing.at_most,
-            self.standing.holds,
+            self.standing.holds_lease,
         ):
             self.events.append(Event("bounds", at_least=standing.at_least, at_most=standing.at_most))
         self.standing = standing
@@ -723,7 +741,7 @@
     def digest(self, now: int) -> str:
         """The digest of the view, equal for all members that agree."""
         own = self.me.birth if self._isolated(now) or self.yielded else 0  # then no other has this view
-        return f"{self.table.digest() ^ mark(self.me) ^ own:016x}"
+        return f"{self.table.digest() ^ entry_digest(self.me) ^ own:016x}"
 
     def summary(self, now: int) -> dict[str, Any]:
         """The view for the console: seconds, counts, hexadecimal digests."""
@@ -731,12 +749,12 @@
         def row(entry: Entry, state: State, since: int) -> dict[str, Any]:
             return {
                 "name": entry.name,
-                "number": entry.number if entry.number != NOBODY else -1,
+                "number": entry.number if entry.number != UNNUMBERED else -1,
                 "incarnation": entry.incarnation,
                 "state": state.name.lower(),
                 "settings": f"{entry.settings:08x}",
                 "zone": entry.zone,
-                "program": f"{entry.program >> 8}.{entry.program & 255}",
+                "program": f"{entry.program_version >> 8}.{entry.program_version & 255}",
                 "since_s": round(max(0, now - since) / 1e9, 3),
             }
 
@@ -750,7 +768,7 @@
             "since_s": round((now - self.settled_at) / 1e9, 3),
             "at_least": self.standing.at_least,
             "at_most": self.standing.at_most,
-            "holds_lease": self.standing.holds,
+            "holds_lease": self.standing.holds_lease,
             "lease_s": self.options.lease / 1e9,
             "yielded": self.yielded,
             "twin": self.yielded or any(n >= TWIN_REPORTS for n in self.twin_reports.values()),
--- a/dykeshift/view/news.py
+++ b/dykeshift/view/news.py
@@ -8,7 +8,7 @@
 RETRANSMIT_FACTOR = 1
 
 
-class News:
+class UpdateQueue:
     """Updates by how often they were sent: one dict for each count, so that the next is found at once."""
 
     def __init__(self) -> None:
@@ -61,24 +61,25 @@
     def __init__(self, datagrams: float, size: float, reserve: dict[int, float]) -> None:
         """`datagrams`, `size` (bytes): per second. `reserve`: by priority, the fraction that it leaves."""
         self.rates = (datagrams, size)
-        self.left = [datagrams, size]  # tokens; a burst may use those of one second
+        self.tokens = [datagrams, size]  # tokens; a burst may use those of one second
         self.reserve = reserve
-        self.at = 0
+        self.refilled_at = 0
         self.sent = [0, 0]
 
     def allows(self, now: int, priority: int, size: int) -> bool:
         """Whether a datagram of this size may be sent now."""
-        passed = max(0, now - self.at) / 1e9
-        self.at = max(self.at, now)
+        passed = max(0, now - self.refilled_at) / 1e9
+        self.refilled_at = max(self.refilled_at, now)
         for n, rate in enumerate(self.rates):
-            self.left[n] = min(rate, self.left[n] + rate * passed)
+            self.tokens[n] = min(rate, self.tokens[n] + rate * passed)
         reserved = self.reserve[priority]
         return (
-            self.left[0] >= 1 + reserved * self.rates[0] and self.left[1] >= size + reserved * self.rates[1]
+            self.tokens[0] >= 1 + reserved * self.rates[0]
+            and self.tokens[1] >= size + reserved * self.rates[1]
         )
 
     def spend(self, size: int) -> None:
         """Record that a datagram of this size was sent."""
         for n, used in enumerate((1, size)):
-            self.left[n] -= used
+            self.tokens[n] -= used
             self.sent[n] += used
--- a/dykeshift/view/shell.py
+++ b/dykeshift/view/shell.py
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 from dykeshift.clock import Clock
-from dykeshift.view.core import Event, Out, View
+from dykeshift.view.core import Event, Outgoing, View
 from dykeshift.view.table import Address
 
 # Tells whether a datagram belongs to another component, and the handler that then gets it.
@@ -51,7 +51,7 @@
                 return
         self._apply(self.view.on_datagram(self.clock.monotonic_ns(), data, (addr[0], addr[1])))
 
-    def send(self, out: Out) -> None:
+    def send(self, out: Outgoing) -> None:
         """Send the datagrams of another component, which has a budget of its own."""
         if self.transport is not None:
             for data, address in out:
@@ -68,7 +68,7 @@
         self.timer = None
         self._apply(self.view.on_timer(max(self.now(), self.view.next_at)))
 
-    def _apply(self, out: Out) -> None:
+    def _apply(self, out: Outgoing) -> None:
         """Send datagrams, deliver pending events and set the timer anew."""
         if self.transport is None:
             return
@@ -87,7 +87,7 @@
         """The monotonic clock in nanoseconds."""
         return self.clock.monotonic_ns()
 
-    def facts(self, settings: int) -> None:
+    def announce_settings(self, settings: int) -> None:
         """Announce the digest of the settings that this process acts on from now on."""
         self._apply(self.view.on_settings(self.now(), settings))
 
--- a/dykeshift/view/table.py
+++ b/dykeshift/view/table.py
@@ -17,14 +17,14 @@
 
 Address = tuple[str, int]
 
-WORD = 16  # low bits of an incarnation that count the refutations of a process
+REFUTATION_BITS = 16  # low bits of an incarnation that count the refutations of a process
 WINDOW = 128  # size of the anti-replay window per sender, in datagrams: several seconds of its budget
 MAX_MEMBERS = 4096  # members kept in the table; unknown names beyond that are dropped
 
 
-def life(incarnation: int) -> int:
+def generation(incarnation: int) -> int:
     """The generation of the process, which each start of it raises."""
-    return incarnation >> WORD
+    return incarnation >> REFUTATION_BITS
 
 
 def bucket(name: str) -> int:
@@ -32,7 +32,7 @@
     return hashlib.blake2s(name.encode()).digest()[0] % BUCKETS
 
 
-def mark(entry: Entry) -> int:
+def entry_digest(entry: Entry) -> int:
     """The digest of one entry; 0 for the dead and those who left, as each process forgets these at its own
     time."""
     if entry.state >= State.DEAD:
@@ -72,10 +72,10 @@
 
     def accept(self, incarnation: int, seq: int) -> bool:
         """Whether a datagram is new, and record it as seen: replayed ones are not new."""
-        if life(incarnation) != self.window_generation:
-            if life(incarnation) < self.window_generation:
+        if generation(incarnation) != self.window_generation:
+            if generation(incarnation) < self.window_generation:
                 return False
-            self.window_generation, self.newest_seq, self.seen = life(incarnation), -1, 0
+            self.window_generation, self.newest_seq, self.seen = generation(incarnation), -1, 0
         ahead = seq - self.newest_seq
         if ahead > 0:
             self.seen = (self.seen << ahead | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
@@ -89,7 +89,7 @@
     def verify(self, birth: int, incarnation: int, seq: int) -> None:
         """Record that it answered a probe just now: whatever it sent before that counts as replayed."""
         if self.verified_birth != birth:
-            self.verified_birth, self.window_generation = birth, life(incarnation)
+            self.verified_birth, self.window_generation = birth, generation(incarnation)
             self.newest_seq, self.seen = seq, (1 << WINDOW) - 1
 
 
@@ -135,7 +135,7 @@
     def put(self, entry: Entry, now: int) -> Member | None:
         """Store an entry, without regard to precedence. None: it is unknown and the table is full."""
         known = self.members.get(entry.name)
-        new = mark(entry)
+        new = entry_digest(entry)
         if known is None:
             if len(self.members) >= MAX_MEMBERS:
                 return None
@@ -149,7 +149,7 @@
         known.entry, known.digest = entry, new
         return known
 
-    def turn(self, member: Member, state: State, now: int) -> Entry:
+    def set_state(self, member: Member, state: State, now: int) -> Entry:
         """Change the state of a member at the same incarnation."""
         entry = replace(member.entry, state=state)
         self.put(entry, now)
--- a/dykeshift/view/wire.py
+++ b/dykeshift/view/wire.py
@@ -10,7 +10,7 @@
     16  sequence number, 4 bytes
 
 A receiver drops datagrams of an unknown version or kind. It skips unknown fields, and the bytes after the
-known part of a field. Any input gives either a message or `Bad` with one of `REASONS`.
+known part of a field. Any input gives either a message or `DatagramError` with one of `REASONS`.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from enum import IntEnum
 
 VERSION = 1
-MOST = 256  # bytes in a datagram, as the platform's protocol demands
-SEAL = 8  # bytes
+MAX_DATAGRAM = 256  # bytes in a datagram, as the platform's protocol demands
+SEAL_SIZE = 8  # bytes
 HEADER = struct.Struct(">BBHIQIQBB")
 ENTRY = struct.Struct(">QIBHHBIHB")
 PROOF = struct.Struct(">IQ")
 BUCKETS = 16
-NOBODY = 0xFFFF  # the number of a member that has none configured
-LONGEST_NAME = 64  # bytes, so that a name, a target and one entry always fit into one datagram
+UNNUMBERED = 0xFFFF  # the number of a member that has none configured
+MAX_NAME_BYTES = 64  # bytes, so that a name, a target and one entry always fit into one datagram
 REASONS = ("size", "version", "fleet", "seal", "form")  # why a datagram is rejected
 
 
@@ -54,7 +54,7 @@
     LEFT = 4
 
 
-class Bad(Exception):
+class DatagramError(Exception):
     """The bytes are no valid message of this fleet; `args[0]` is one of REASONS."""
 
 
@@ -66,11 +66,11 @@
     incarnation: int
     birth: int
     state: State = State.ALIVE
-    number: int = NOBODY  # position in the list of peers
-    tier: int = 0  # addresses in its list of peers
+    number: int = UNNUMBERED  # position in the list of peers
+    peer_count: int = 0  # addresses in its list of peers
     zone: int = 0
     settings: int = 0  # digest of the settings that it acts on
-    program: int = 0  # version, major * 256 + minor
+    program_version: int = 0  # version, major * 256 + minor
 
 
 @dataclass(slots=True)
@@ -107,9 +107,9 @@
         self.tag = int.from_bytes(name[:2], "big")
         self.person, self.key = name[:8], key
 
-    def of(self, data: bytes) -> bytes:
+    def mac(self, data: bytes) -> bytes:
         """The authentication code of `data`."""
-        return hashlib.blake2s(data, digest_size=SEAL, key=self.key, person=self.person).digest()
+        return hashlib.blake2s(data, digest_size=SEAL_SIZE, key=self.key, person=self.person).digest()
 
 
 def pack_entry(entry: Entry) -> bytes:
@@ -121,10 +121,10 @@
             entry.birth,
             entry.state,
             entry.number,
-            entry.tier,
+            entry.peer_count,
             entry.zone,
             entry.settings,
-            entry.program,
+            entry.program_version,
             len(name),
         )
         + name
@@ -135,7 +135,7 @@
 def _unpack_entry(value: bytes) -> Entry:
     incarnation, birth, state, number, tier, zone, settings, program, length = ENTRY.unpack_from(value)
     name = value[ENTRY.size : ENTRY.size + length]
-    if not 0 < length <= LONGEST_NAME or len(name) < length:
+    if not 0 < length <= MAX_NAME_BYTES or len(name) < length:
         raise ValueError("truncated name in an entry")
     return Entry(name.decode(), incarnation, birth, State(state), number, tier, zone, settings, program)
 
@@ -168,49 +168,49 @@
         parts.append(bytes((FIELD_PROOF, PROOF.size)) + PROOF.pack(*message.proof))
     if message.sums:
         parts.append(bytes((FIELD_SUMS, 4 * BUCKETS)) + struct.pack(f">{BUCKETS}I", *message.sums))
-    size = sum(map(len, parts)) + SEAL
+    size = sum(map(len, parts)) + SEAL_SIZE
     for field_bytes in [pack_entry(entry) for entry in message.entries] + (packed or []):
-        if size + len(field_bytes) <= MOST:
+        if size + len(field_bytes) <= MAX_DATAGRAM:
             parts.append(field_bytes)
             size += len(field_bytes)
     data = b"".join(parts)
-    return data + seal.of(data)
+    return data + seal.mac(data)
 
 
 def entry_space(name: str) -> int:
     """Bytes left for entries in a message of this sender that has both an `ask` and an `echo` field."""
-    return MOST - SEAL - HEADER.size - len(name.encode()) - 12
+    return MAX_DATAGRAM - SEAL_SIZE - HEADER.size - len(name.encode()) - 12
 
 
 def unseal(data: bytes, seal: Seal, header: struct.Struct, min_size: int) -> tuple[int, ...]:
     """Check size, version, fleet and seal; return the kind and the header's fields after the tag.
 
-    Headers begin with version, kind and tag. `min_size`: the fewest bytes before the seal. Raises Bad for
-    what is no datagram of this fleet.
+    Headers begin with version, kind and tag. `min_size`: the fewest bytes before the seal. Raises
+    DatagramError for what is no datagram of this fleet.
     """
-    if not min_size + SEAL <= len(data) <= MOST:
-        raise Bad("size")
+    if not min_size + SEAL_SIZE <= len(data) <= MAX_DATAGRAM:
+        raise DatagramError("size")
     version, kind, tag, *rest = header.unpack_from(data)
     if version != VERSION:
-        raise Bad("version")
+        raise DatagramError("version")
     if tag != seal.tag:
-        raise Bad("fleet")
-    if not hmac.compare_digest(seal.of(data[:-SEAL]), data[-SEAL:]):
-        raise Bad("seal")
+        raise DatagramError("fleet")
+    if not hmac.compare_digest(seal.mac(data[:-SEAL_SIZE]), data[-SEAL_SIZE:]):
+        raise DatagramError("seal")
     return kind, *rest
 
 
 def decode(data: bytes, seal: Seal) -> Message:
-    """Check and decode a datagram. Raises Bad for what is no message of this fleet."""
+    """Check and decode a datagram. Raises DatagramError for what is no message of this fleet."""
     kind, birth, incarnation, seq, digest, flags, length = unseal(data, seal, HEADER, HEADER.size + 1)
     try:
         at = HEADER.size + length
-        if not 0 < length <= LONGEST_NAME or at > len(data) - SEAL:
+        if not 0 < length <= MAX_NAME_BYTES or at > len(data) - SEAL_SIZE:
             raise ValueError("missing or truncated name")
         message = Message(Kind(kind), data[HEADER.size : at].decode(), birth, incarnation, seq, digest, flags)
-        _unpack_fields(message, data[at:-SEAL])
+        _unpack_fields(message, data[at:-SEAL_SIZE])
     except (ValueError, struct.error):
-        raise Bad("form") from None
+        raise DatagramError("form") from None
     return message
 
 
--- a/tests/agree/test_parts.py
+++ b/tests/agree/test_parts.py
@@ -19,7 +19,7 @@
 from dykeshift.agree.wire import CHUNK, CHUNKED, FIELDS, Kind, Message, decode, encode
 from dykeshift.clock import SYSTEM
 from dykeshift.rig.linear import FOREVER, Operation, check
-from dykeshift.view.wire import MOST, REASONS, Bad, Seal
+from dykeshift.view.wire import MAX_DATAGRAM, REASONS, DatagramError, Seal
 
 SEAL = Seal("lifttrail", b"key")
 U32 = st.integers(0, 2**32 - 1)
@@ -50,9 +50,9 @@
 @given(messages())
 def test_message_round_trip(message: Message) -> None:
     data = encode(message, SEAL)
-    assert len(data) <= MOST and decode(data, SEAL) == message
+    assert len(data) <= MAX_DATAGRAM and decode(data, SEAL) == message
     for other in (Seal("lifttrail", b""), Seal("another", b"key")):
-        with pytest.raises(Bad):
+        with pytest.raises(DatagramError):
             decode(data, other)
 
 
@@ -63,13 +63,13 @@
     whole = bytearray(encode(message, SEAL))
     whole[at % len(whole)] ^= flip
     for one in (data, bytes(whole)):
-        with pytest.raises(Bad) as found:
+        with pytest.raises(DatagramError) as found:
             decode(one, SEAL)
         assert str(found.value) in REASONS
     spoilt = bytes(whole[:-8])
     try:
-        decode(spoilt + SEAL.of(spoilt), SEAL)  # malformed, but with a valid MAC
-    except Bad as exc:
+        decode(spoilt + SEAL.mac(spoilt), SEAL)  # malformed, but with a valid MAC
+    except DatagramError as exc:
         assert str(exc) in REASONS
 
 
--- a/tests/cli/test_console.py
+++ b/tests/cli/test_console.py
@@ -10,14 +10,14 @@
 
 from dykeshift.cli import main
 from tests.node.messages import answer, request
-from tests.node.stubs import Stub, node, run, says
+from tests.node.stubs import Stub, answers_with, node, run
 
 Capture = pytest.CaptureFixture[str]
 
 
 def test_calls_reach_a_balancer_and_a_no_is_exit_1(capsys: Capture) -> None:
     async def play() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub, console="127.0.0.1:0") as balancer:
             at = "%s:%d" % balancer.services[-1].server.address
 
--- a/tests/cli/test_mllp.py
+++ b/tests/cli/test_mllp.py
@@ -17,7 +17,7 @@
 from dykeshift.mllp.journal import KIND, Answered, Sent, encode
 from dykeshift.standins.mllp_script import ScriptedServer, ScriptError, read_script
 from dykeshift.store.records import encode as record
-from dykeshift.store.records import file_head
+from dykeshift.store.records import file_header
 
 Capture = pytest.CaptureFixture[str]
 ROOT = Path(__file__).parents[2]
@@ -145,13 +145,13 @@
     name = (b"CLINIC", b"DORNOD", b"m1")
     one, two = (record(encode(r)) for r in (Sent(name, b"d", 1, 5), Answered(name, b"d", 1, 9, b"AA")))
     path = tmp_path / "mllp-00000001.log"
-    path.write_bytes(file_head(KIND) + one + two)
+    path.write_bytes(file_header(KIND) + one + two)
     code, out, _ = said(capsys, "journal", str(tmp_path))
     assert code == 0 and out.splitlines() == [
         f"{path.name}: 2 records, {len(one + two) + 8} bytes",
         "1 answers and 0 messages without one from the journal",
     ]
-    path.write_bytes(file_head(KIND) + one[:-1] + b"?" + two + one[:-3])
+    path.write_bytes(file_header(KIND) + one[:-1] + b"?" + two + one[:-3])
     code, out, _ = said(capsys, "journal", str(tmp_path), "--json")
     assert code == 1 and json.loads(out)["files"][0]["damaged"] == [[8, 8 + len(one)]]
     assert json.loads(out)["files"][0]["cut_off_bytes"] == len(one) - 3
--- a/tests/configuration/test_subscriber_wire.py
+++ b/tests/configuration/test_subscriber_wire.py
@@ -9,7 +9,7 @@
 from dykeshift.agree import wire as agree_wire
 from dykeshift.configuration import wire
 from dykeshift.versions import wire as versions_wire
-from dykeshift.view.wire import MOST, REASONS, VERSION, Bad, Seal
+from dykeshift.view.wire import MAX_DATAGRAM, REASONS, VERSION, DatagramError, Seal
 
 SEAL = Seal("fleet", b"key")
 U64, U32, U16 = 2**64 - 1, 2**32 - 1, 2**16 - 1
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
 def test_every_message_round_trips_and_fits_a_datagram(message: wire.Message) -> None:
     data = wire.encode(message, SEAL)
-    assert len(data) <= MOST
+    assert len(data) <= MAX_DATAGRAM
     assert wire.is_ours(data)
     assert wire.decode(data, SEAL) == message
 
@@ -59,7 +59,7 @@
 
 @given(st.binary(max_size=300))
 def test_arbitrary_bytes_are_rejected(data: bytes) -> None:
-    with pytest.raises(Bad) as error:
+    with pytest.raises(DatagramError) as error:
         wire.decode(data, SEAL)
     assert error.value.args[0] in REASONS
 
@@ -68,7 +68,7 @@
 def test_changed_byte_is_detected(message: wire.Message, place: int, change: int) -> None:
     data = bytearray(wire.encode(message, SEAL))
     data[place % len(data)] ^= change
-    with pytest.raises(Bad):
+    with pytest.raises(DatagramError):
         wire.decode(bytes(data), SEAL)
 
 
@@ -77,8 +77,8 @@
     head = wire.HEAD.pack(VERSION, kind, SEAL.tag, 7)
     data = head + body
     try:
-        message = wire.decode(data + SEAL.of(data), SEAL)
-    except Bad as error:
+        message = wire.decode(data + SEAL.mac(data), SEAL)
+    except DatagramError as error:
         assert error.args[0] in REASONS
     else:
         assert type(message).__name__ in {type(one).__name__ for one in MESSAGES}
@@ -86,5 +86,5 @@
 
 def test_datagrams_of_another_fleet_are_rejected() -> None:
     for message in MESSAGES:
-        with pytest.raises(Bad):
+        with pytest.raises(DatagramError):
             wire.decode(wire.encode(message, Seal("other")), SEAL)
--- a/tests/console/test_shell.py
+++ b/tests/console/test_shell.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from dykeshift.engine.discovery import number_of
+from dykeshift.engine.discovery import instance_number
 from tests.node.messages import Message, answer, instance, listing, read_message, request
-from tests.node.stubs import Node, Stub, node, resets, run, says, silent, until
+from tests.node.stubs import Node, Stub, answers_with, node, resets, run, silent, wait_until
 
 
 @asynccontextmanager
@@ -67,7 +67,7 @@
     pieces: tuple[bytes, ...], status: int
 ) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with with_console(stub) as (_, call):
             assert (await call(*pieces)).start.split()[1] == str(status)
 
@@ -93,10 +93,10 @@
             address = balancer.services[-1].server.address
             slow_reader, slow = await asyncio.open_connection(*address)
             slow.write(b"GET /sta")  # has sent something: not a silent caller
-            await until(lambda: any(c.fed for c in balancer.services[-1].callers))
+            await wait_until(lambda: any(c.fed for c in balancer.services[-1].callers))
             silent_ones = [await asyncio.open_connection(*address) for _ in range(50)]
             assert "200" in (await call(b"GET /status HTTP/1.1\r\nHost: b\r\n\r\n")).start
-            assert len(balancer.services[-1].callers) <= balancer.given.callers
+            assert len(balancer.services[-1].callers) <= balancer.given.operator_connections
             slow.write(b"tus HTTP/1.1\r\nHost: b\r\n\r\n")
             assert "200" in (await read_message(slow_reader)).start
             for _, writer in [*silent_ones, (slow_reader, slow)]:
@@ -107,7 +107,7 @@
 
 def test_metrics_match_what_upstreams_and_clients_saw() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with with_console(stub) as (balancer, call):
             for n in range(5):
                 assert "200" in (await balancer.ask(request("send", rid=f"a{n}"))).start
@@ -116,9 +116,9 @@
             stub.handler = silent
             caller = await balancer.open()
             caller.writer.write(request("send", rid="c"))
-            await until(lambda: len(stub.seen) == 7)
+            await wait_until(lambda: len(stub.seen) == 7)
             balancer.registry.put(listing(2, False, instance("s1", ("127.0.0.1", 9), "leaving")))
-            await until(lambda: len(balancer.front.driver.pool.upstreams) == 2)
+            await wait_until(lambda: len(balancer.front.driver.pool.upstreams) == 2)
             figures = json.loads((await call(METRICS)).body)
             assert figures["calls"]["send"] == {"success": 5, "busy": 0, "failure": 1}
             assert figures["backend_calls"] == len(stub.seen) == 7
@@ -134,18 +134,18 @@
 
 def test_a_ban_closes_idle_connections_and_cancels_attempts_waiting_for_one() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with with_console(stub) as (balancer, call):
             await balancer.ask(request("check", rid="warm"))
             assert "404" in (await call(put("maintenance/enter", "s7"))).start
             assert "200" in (await call(put("maintenance/enter", "s0"))).start
-            await until(lambda: stub.lost == 1)
+            await wait_until(lambda: stub.lost == 1)
             got = await balancer.ask(request("send", rid="r"))
             assert "503" in got.start and float(got.headers["retry-after"]) > 0 and len(stub.seen) == 1
             pool = balancer.front.driver.pool
             ends = list[Any]()
-            pool.start(number_of("s0"), lambda _: b"", 1 << 62, ends.append)
-            await until(lambda: bool(ends))
+            pool.start(instance_number("s0"), lambda _: b"", 1 << 62, ends.append)
+            await wait_until(lambda: bool(ends))
             assert ends[0].outcome.name == "NOT_SENT"
             assert "200" in (await call(put("maintenance/exit", "s0"))).start
             for n in range(200):  # it is cold, and chance decides when its credit allows the first
--- a/tests/faults/daemon.py
+++ b/tests/faults/daemon.py
@@ -18,7 +18,7 @@
 from tests.faults.ending import Ending
 from tests.faults.fault_control import FaultControl
 from tests.node.messages import Message, instance, listing
-from tests.node.stubs import Caller, Registry, Stub, ask_once, configuration, until
+from tests.node.stubs import ClientConnection, DiscoveryStub, Stub, ask_once, configuration, wait_until
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 COMMAND = (sys.executable, "-m", "dykeshift.node")
@@ -40,7 +40,7 @@
     address: tuple[str, int]
     faults: FaultControl
     folder: Path
-    registry: Registry
+    registry: DiscoveryStub
     environment: dict[str, str]
 
     def beside(self, listener: socket.socket) -> Daemon:
@@ -54,9 +54,9 @@
                 return bool(int(line.split()[1], 16) & 1 << (number - 1))
         return False
 
-    async def open(self) -> Caller:
+    async def open(self) -> ClientConnection:
         """Open a new connection as a client."""
-        return await Caller.to(self.address)
+        return await ClientConnection.to(self.address)
 
     async def ask(self, request: bytes) -> Message:
         """Send one request on a new connection."""
@@ -72,7 +72,7 @@
 
     async def ended(self) -> int:
         """Wait until the process has ended; returns its exit code."""
-        await until(lambda: self.process.poll() is not None)
+        await wait_until(lambda: self.process.poll() is not None)
         return self.process.returncode
 
 
@@ -100,7 +100,7 @@
         **faults.environment(),
         **(environment or {}),
     }
-    registry = await Registry().start()
+    registry = await DiscoveryStub().start()
     known = listing(1, True, *(instance(f"s{n}", one.address) for n, one in enumerate(upstreams)))
     address = inherited.getsockname() if inherited is not None else free_address()
     given = {**configuration(registry.address, known), "listen": f"{address[0]}:{address[1]}", **changes}
--- a/tests/faults/ending.py
+++ b/tests/faults/ending.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from dykeshift.sim.scenario import kill_after
-from tests.node.stubs import Caller
+from tests.node.stubs import ClientConnection
 
 POLL = 0.002  # seconds between two checks whether it is time for SIGKILL
 
@@ -66,7 +66,7 @@
         return was_running
 
 
-async def exchange(client: Caller, data: bytes) -> bytes:
+async def exchange(client: ClientConnection, data: bytes) -> bytes:
     """Write on a connection that may have ended, and read until it ends."""
     found = b""
     with suppress(ConnectionError):
--- a/tests/faults/test_early_signals.py
+++ b/tests/faults/test_early_signals.py
@@ -14,7 +14,7 @@
 
 from tests.faults.daemon import READY, ROOT, daemon, free_address
 from tests.node.messages import answer, instance, listing, request
-from tests.node.stubs import Registry, Stub, ask_once, configuration, run, says, until
+from tests.node.stubs import DiscoveryStub, Stub, answers_with, ask_once, configuration, run, wait_until
 
 SIGHUP_BIT = 1 << (signal.SIGHUP - 1)  # in the masks of /proc/PID/status
 
@@ -35,7 +35,7 @@
     """The default action of SIGHUP ends a process; starting Python and the imports takes 0.25 s."""
 
     async def main() -> None:
-        stub, registry = await Stub(says(answer())).start(), await Registry().start()
+        stub, registry = await Stub(answers_with(answer())).start(), await DiscoveryStub().start()
         address = free_address()
         given = configuration(registry.address, listing(1, True, instance("s0", stub.address)))
         path = tmp_path / "config.json"
@@ -46,7 +46,7 @@
             ["/bin/sh", "-c", command], cwd=ROOT, env={**os.environ, "NODE_CONFIG": str(path)}
         )
         try:
-            await until(lambda: is_program(process.pid))
+            await wait_until(lambda: is_program(process.pid))
             assert survives_sighup(process.pid)
             while process.poll() is None:
                 process.send_signal(signal.SIGHUP)
@@ -56,7 +56,7 @@
             assert process.poll() is None
             assert (await ask_once(address, request(rid="r1"))).body == b"done"
             process.terminate()
-            await until(lambda: process.poll() is not None)
+            await wait_until(lambda: process.poll() is not None)
             assert process.returncode == 0
         finally:
             process.kill()
@@ -68,7 +68,7 @@
     """When the event loop closes, it removes its signal handlers before the process has ended."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with daemon(tmp_path, stub) as balancer:
             assert (await balancer.ask(request(rid="r1"))).body == b"done"
             balancer.process.terminate()
--- a/tests/faults/test_failing_calls.py
+++ b/tests/faults/test_failing_calls.py
@@ -18,7 +18,7 @@
     Kind,
 )
 from tests.node.messages import answer, request
-from tests.node.stubs import Stub, run, says, until
+from tests.node.stubs import Stub, answers_with, run, wait_until
 
 ROUNDS, CONCURRENT = 12, 8  # requests on new connections: rounds, and requests at once in each
 
@@ -37,7 +37,7 @@
     """When the system had no descriptor left, the event loop closed queued connections unread."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with daemon(tmp_path, stub) as balancer:
             balancer.faults.fail(Kind.ACCEPT, 0.4, [failure])
             assert set(await ask_often(balancer, "failing")) == {"200"}
@@ -69,7 +69,7 @@
 
     async def main() -> None:
         # Each answer ends its connection, so that each request needs a connect.
-        stub = await Stub(says(answer(Connection="close"), close=True)).start()
+        stub = await Stub(answers_with(answer(Connection="close"), close=True)).start()
         async with daemon(tmp_path, stub) as balancer:
             balancer.faults.fail(kind, share, errors)
             assert set(await ask_often(balancer, "failing")) <= {"200", "500", "503", "504"}
@@ -87,7 +87,7 @@
     """It exited with code 2 and a message that it could not listen."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
 
         def before(faults: FaultControl) -> None:
             faults.fail(Kind.SOCKET, 0.7, [failure])
@@ -107,13 +107,13 @@
     """The event loop keeps running, and queued connections are accepted once accept works again."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with daemon(tmp_path, stub) as balancer:
             kept = await balancer.open()
             assert (await kept.ask(request(rid="first"))).body == b"done"
             balancer.faults.fail(Kind.ACCEPT, 1.0, [failure])
             waiting = asyncio.create_task(balancer.ask(request(rid="waiting")))
-            await until(lambda: balancer.faults.injected(Kind.ACCEPT) > 0)
+            await wait_until(lambda: balancer.faults.injected(Kind.ACCEPT) > 0)
             for turn in range(5):
                 assert (await kept.ask(request(rid=f"kept-{turn}"))).body == b"done"
             assert not waiting.done()
--- a/tests/faults/test_failing_folder.py
+++ b/tests/faults/test_failing_folder.py
@@ -10,7 +10,7 @@
 from tests.faults.daemon import daemon
 from tests.faults.fault_control import FILE_ERRORS, FaultControl, Kind
 from tests.node.messages import answer, request
-from tests.node.stubs import Stub, run, says, until
+from tests.node.stubs import Stub, answers_with, run, wait_until
 
 
 @pytest.mark.parametrize("share", [1.0, 0.5])
@@ -20,7 +20,7 @@
     """It accepted clients for a moment and then ended with a traceback."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
 
         def before(faults: FaultControl) -> None:
             faults.fail(Kind.FILE_CALL, share, FILE_ERRORS)
@@ -31,7 +31,9 @@
                     assert (await balancer.ask(request(rid=f"r{turn}"))).body == b"done"
                 balancer.faults.calm()
                 shared = tmp_path / "shared"
-                await until(lambda: any(p.name.startswith("lifttrail-serving-") for p in shared.iterdir()))
+                await wait_until(
+                    lambda: any(p.name.startswith("lifttrail-serving-") for p in shared.iterdir())
+                )
                 assert "Traceback" not in balancer.log()
                 assert share < 1.0 or balancer.log().count("can't be used") == 1
                 balancer.process.terminate()
--- a/tests/faults/test_process_end.py
+++ b/tests/faults/test_process_end.py
@@ -16,7 +16,7 @@
 from tests.faults.daemon import daemon, free_address
 from tests.faults.ending import Ending, exchange, status
 from tests.node.messages import Message, answer, read_frame, request
-from tests.node.stubs import Caller, Stub, run, says, service, settings, silent, until
+from tests.node.stubs import ClientConnection, Stub, answers_with, run, service, settings, silent, wait_until
 
 CLOCK_ERROR = 2.0  # seconds by which clinics' clocks may be off: the balancer's default
 STALL = 0.15  # seconds for which a balancer may be stalled
@@ -90,7 +90,7 @@
     return f"MSH|^~\\&|CLINIC|DORNOD|LT|CH|{created}||ORM^O01|{control}|P|2.5.1\rPID|1||42\r".encode()
 
 
-async def ask_at(ending: Ending, client: Caller, offset: float, data: bytes) -> bytes:
+async def ask_at(ending: Ending, client: ClientConnection, offset: float, data: bytes) -> bytes:
     """Send a request at this offset after SIGTERM; returns all that is received on the connection."""
     await ending.reach(offset)
     return await exchange(client, data)
@@ -147,7 +147,7 @@
             path.write_text(json.dumps({**given, "settings": deadlines(0.8 * change)}))
             if before:
                 ending.signal(signal.SIGHUP)
-                await until(lambda: "discovery is the same" in balancer.log())
+                await wait_until(lambda: "discovery is the same" in balancer.log())
             ending.terminate()
             for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
                 ending.signal(number)
@@ -241,12 +241,12 @@
     """Told to end while it waits for its first list beside another process, it stops waiting for that."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             async with daemon(tmp_path, stub, inherited=listener, settings=deadlines(0.2)) as first:
                 second = first.beside(listener)
                 try:
-                    await until(lambda: second.caught(signal.SIGTERM))
+                    await wait_until(lambda: second.caught(signal.SIGTERM))
                     ending = second.ending(0.2)
                     ending.terminate()
                     ending.signal(signal.SIGTERM)
@@ -279,7 +279,7 @@
             ending = balancer.ending(4.0)
             reader, writer = await asyncio.open_connection(*address)
             writer.write(b"\x0b" + hl7_message("control-1") + b"\x1c\r")
-            await until(lambda: bool(stub.seen))
+            await wait_until(lambda: bool(stub.seen))
             ending.terminate()
             acknowledged = asyncio.create_task(read_frame(reader))
             assert not await ending.kill()
--- a/tests/handover/test_together.py
+++ b/tests/handover/test_together.py
@@ -8,16 +8,16 @@
 import pytest
 
 from dykeshift.clock import SystemClock
-from dykeshift.engine.discovery import number_of
+from dykeshift.engine.discovery import instance_number
 from dykeshift.handover.bans import Bans
 from dykeshift.handover.folder import BANS, Folder
 from dykeshift.interface import ListKind
 from dykeshift.node.together import ProcessGroup
 from tests.harness import MS, World, entry
 from tests.node.messages import answer
-from tests.node.stubs import Node, Stub, node, run, says
+from tests.node.stubs import Node, Stub, answers_with, node, run
 
-S0 = number_of("s0")
+S0 = instance_number("s0")
 
 
 def group_of(balancer: Node, folder: Folder) -> ProcessGroup:
@@ -29,7 +29,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             here, other = group_of(balancer, Folder(str(tmp_path))), group_of(balancer, Folder(str(tmp_path)))
             banned = balancer.front.driver.balancer.banned
@@ -58,17 +58,17 @@
             monkeypatch.setattr(driver, "ban", noted)
             other.enter("s7")  # a change by the other process: the earlier end is not applied again
             here.restore()
-            assert banned_again == [number_of("s7")]
+            assert banned_again == [instance_number("s7")]
             other.enter("s0")
             here.restore()
-            assert set(banned) == {S0, number_of("s7")}
+            assert set(banned) == {S0, instance_number("s7")}
 
     run(main())
 
 
 def test_two_serving_processes_share_connections_and_memory_and_the_older_one_drains(tmp_path: Path) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as one, node(stub) as two:
             elder, younger = (group_of(balancer, Folder(str(tmp_path))) for balancer in (one, two))
             full = one.front.limit, one.front.driver.pool.limit, one.front.budget.limit
@@ -129,7 +129,7 @@
     """After a step back a new ban looked lifted by the end of the last one, or could not be lifted."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             here, other = group_of(balancer, Folder(str(tmp_path))), group_of(balancer, Folder(str(tmp_path)))
             here.clock = other.clock = clock = SteppedClock()
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -15,13 +15,22 @@
 
 from dykeshift.handover.folder import BANS
 from tests.node.messages import Message, answer, instance, listing, read_message, request
-from tests.node.stubs import Caller, Registry, Stub, configuration, run, says, silent, until
+from tests.node.stubs import (
+    ClientConnection,
+    DiscoveryStub,
+    Stub,
+    answers_with,
+    configuration,
+    run,
+    silent,
+    wait_until,
+)
 
 READY = b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n"
 ROOT = Path(__file__).resolve().parents[2]
 
 
-class Lists(Registry):
+class FullListDiscovery(DiscoveryStub):
     """A discovery that answers each client with the full list at once and then leaves its watch open."""
 
     known: Any = None
@@ -34,10 +43,10 @@
         writer.close()
 
 
-class Site:
+class Platform:
     """A platform that holds the listener and starts the processes that share it."""
 
-    def __init__(self, folder: Path, listener: socket.socket, registry: Registry, known: Any) -> None:
+    def __init__(self, folder: Path, listener: socket.socket, registry: DiscoveryStub, known: Any) -> None:
         self.folder, self.listener, self.registry, self.known = folder, listener, registry, known
         self.processes: list[asyncio.subprocess.Process] = []
 
@@ -86,18 +95,18 @@
         writer.close()
         return got
 
-    async def open(self) -> Caller:
-        return Caller(*await asyncio.open_connection(*self.listener.getsockname()))
+    async def open(self) -> ClientConnection:
+        return ClientConnection(*await asyncio.open_connection(*self.listener.getsockname()))
 
 
 @asynccontextmanager
-async def site(folder: Path, *stubs: Stub) -> AsyncIterator[Site]:
-    registry = Lists()
+async def site(folder: Path, *stubs: Stub) -> AsyncIterator[Platform]:
+    registry = FullListDiscovery()
     await registry.start()
     known = listing(1, True, *(instance(f"s{n}", stub.address) for n, stub in enumerate(stubs)))
     registry.known = known
     with socket.create_server(("127.0.0.1", 0), backlog=128) as listener:
-        platform = Site(folder, listener, registry, known)
+        platform = Platform(folder, listener, registry, known)
         try:
             yield platform
         finally:
@@ -109,7 +118,7 @@
 
 def test_every_request_is_answered_during_two_upgrades(tmp_path: Path) -> None:
     async def main() -> None:
-        stubs = [await Stub(says(answer(b"done"))).start() for _ in range(4)]
+        stubs = [await Stub(answers_with(answer(b"done"))).start() for _ in range(4)]
         async with site(tmp_path, *stubs) as platform:
             old, _ = await platform.start()
             stop = asyncio.Event()
@@ -153,7 +162,7 @@
             while "connection" not in (await probe.ask(READY)).headers:
                 pass  # until the old one has seen the new one
             busy.writer.write(request(rid="busy"))
-            await until(lambda: len(stub.seen) == 1)
+            await wait_until(lambda: len(stub.seen) == 1)
             old.send_signal(signal.SIGTERM)
             stub.writers[0].write(answer(b"at last"))
             got = await read_message(busy.reader)
@@ -167,9 +176,9 @@
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
-        banned, other = [await Stub(says(answer(body))).start() for body in (b"banned", b"other")]
+        banned, other = [await Stub(answers_with(answer(body))).start() for body in (b"banned", b"other")]
 
-        async def answers_of(platform: Site, count: int) -> set[bytes]:
+        async def answers_of(platform: Platform, count: int) -> set[bytes]:
             callers = [await platform.open() for _ in range(20)]
             return {(await c.ask(request("check", rid=f"{count}-{n}"))).body for n, c in enumerate(callers)}
 
@@ -199,7 +208,7 @@
 
 def test_if_the_new_process_dies_the_old_one_serves_on(tmp_path: Path) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer(b"done"))).start()
+        stub = await Stub(answers_with(answer(b"done"))).start()
         async with site(tmp_path, stub) as platform:
             await platform.start()
             kept = await platform.open()
@@ -220,7 +229,7 @@
 
 def test_it_serves_without_a_folder_and_reports_a_bad_listener_in_one_line(tmp_path: Path) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer(b"done"))).start()
+        stub = await Stub(answers_with(answer(b"done"))).start()
         async with site(tmp_path, stub) as platform:
             _, console = await platform.start(TMPDIR="")
             assert "200" in (await platform.call(console, "PUT", "/maintenance/enter", "s0")).start
--- a/tests/mllp/test_carrier.py
+++ b/tests/mllp/test_carrier.py
@@ -15,7 +15,7 @@
 from dykeshift.standins import hl7
 from tests.mllp.test_front import message, place
 from tests.node.messages import Message, request
-from tests.node.stubs import Stub, run, until
+from tests.node.stubs import Stub, run, wait_until
 
 
 def ack(code: str, content: bytes, other: str = "") -> bytes:
@@ -146,7 +146,7 @@
             clinic = await here.clinic()
             whole = frame(message())
             clinic.writer.write(whole[:40])
-            await until(lambda: any(line.session.deframer.unfinished() for line in here.front.lines))
+            await wait_until(lambda: any(line.session.deframer.unfinished() for line in here.front.lines))
             driver = here.node.front.driver
             for upstream in driver.pool.upstreams.values():
                 upstream.open_to_new = False
--- a/tests/mllp/test_front.py
+++ b/tests/mllp/test_front.py
@@ -24,8 +24,8 @@
 from dykeshift.node.mllp import Options
 from dykeshift.standins.disk import Disk
 from tests.node.messages import answer
-from tests.node.stubs import Handler, Node, Stub, node, resets, run, says, silent, until
-from tests.store.machine import Machine
+from tests.node.stubs import Handler, Node, Stub, answers_with, node, resets, run, silent, wait_until
+from tests.store.memory_disk import MemoryDisk
 
 SECOND = 1_000_000_000
 ROUTES = [
@@ -90,7 +90,7 @@
     if disk is not None:
         section["journal"] = "/journal"
     options = msgspec.convert(section, Options)
-    beside = Features(((feature, options),), Machine(disk) if disk is not None else None)
+    beside = Features(((feature, options),), MemoryDisk(disk) if disk is not None else None)
     async with node(stub, beside=beside) as balancer:
         here = Place(balancer, stub)
         if complete and disk is None:
@@ -104,7 +104,7 @@
 
 def test_a_message_is_served_and_a_resend_hears_the_same_and_is_not_sent() -> None:
     async def main() -> None:
-        async with place(says(answer())) as here:
+        async with place(answers_with(answer())) as here:
             clinic = await here.clinic()
             assert await clinic.say(message()) == "AA"
             assert await clinic.say(message()) == "AA"
@@ -129,13 +129,15 @@
         async with place(slow) as here:
             first = await here.clinic()
             first.writer.write(frame(message()))
-            await until(lambda: len(here.stub.seen) == 1)
+            await wait_until(lambda: len(here.stub.seen) == 1)
             first.writer.transport.abort()  # it will never hear
             second = await here.clinic()
             second.writer.write(frame(message()))
             third = await here.clinic()
             third.writer.write(frame(message()))
-            await until(lambda: any(len(entry.waiting) == 3 for entry in here.front.memory.open.values()))
+            await wait_until(
+                lambda: any(len(entry.waiting) == 3 for entry in here.front.memory.open.values())
+            )
             gate.set()
             assert [a.code.value for a in await second.hear() + await third.hear()] == ["AA", "AA"]
             assert len(here.stub.seen) == 1
@@ -144,7 +146,7 @@
 
 
 @pytest.mark.parametrize(
-    ("handler", "code"), [(resets, "AE"), (says(answer(b"", "500 Internal Server Error")), "AE")]
+    ("handler", "code"), [(resets, "AE"), (answers_with(answer(b"", "500 Internal Server Error")), "AE")]
 )
 def test_what_may_have_run_is_an_error_for_good_and_never_sent_again(handler: Handler, code: str) -> None:
     async def main() -> None:
@@ -158,11 +160,11 @@
 
 def test_what_was_refused_has_not_run_and_may_come_again() -> None:
     async def main() -> None:
-        turned = says(answer(b"", "503 Service Unavailable", X_Not_Run="1"))
+        turned = answers_with(answer(b"", "503 Service Unavailable", X_Not_Run="1"))
         async with place(turned) as here:
             clinic = await here.clinic()
             assert await clinic.say(message()) == "AR"
-            here.stub.handler = says(answer())
+            here.stub.handler = answers_with(answer())
             while await clinic.say(message()) != "AA":
                 pass
             assert len([m for m in here.stub.seen if m.body == message()]) >= 2
@@ -172,7 +174,7 @@
 
 def test_other_content_under_a_known_control_id_is_rejected_unsent() -> None:
     async def main() -> None:
-        async with place(says(answer())) as here:
+        async with place(answers_with(answer())) as here:
             clinic = await here.clinic()
             assert await clinic.say(message()) == "AA"
             assert await clinic.say(message(text="Other")) == "AR"
@@ -183,7 +185,7 @@
 
 def test_a_balancer_just_restarted_says_that_it_cannot_know() -> None:
     async def main() -> None:
-        async with place(says(answer()), complete=False) as here:
+        async with place(answers_with(answer()), complete=False) as here:
             here.front.memory.horizon -= 3600 * SECOND  # it began an hour ago, before MADE
             clinic = await here.clinic()
             old = message().replace(message().split(b"|")[6], b"20200101000000")
@@ -195,7 +197,7 @@
 
 def test_three_frames_in_one_read_are_answered_in_order_each_once() -> None:
     async def main() -> None:
-        async with place(says(answer()), pipelined=2) as here:
+        async with place(answers_with(answer()), pipelined=2) as here:
             clinic = await here.clinic()
             clinic.writer.write(
                 b"".join(
@@ -223,7 +225,7 @@
 
 def test_a_frame_byte_by_byte_and_a_client_that_closes_in_mid_frame() -> None:
     async def main() -> None:
-        async with place(says(answer())) as here:
+        async with place(answers_with(answer())) as here:
             clinic = await here.clinic()
             for byte in frame(message()):
                 clinic.writer.write(bytes([byte]))
@@ -231,7 +233,7 @@
             assert (await clinic.hear())[0].code.value == "AA"
             clinic.writer.write(frame(message("m2"))[:-9])
             clinic.writer.close()
-            await until(lambda: not here.front.lines)
+            await wait_until(lambda: not here.front.lines)
             assert len(here.stub.seen) == 1
 
     run(main())
@@ -239,7 +241,7 @@
 
 def test_enhanced_mode_tells_first_that_it_is_taken() -> None:
     async def main() -> None:
-        async with place(says(answer())) as here:
+        async with place(answers_with(answer())) as here:
             clinic = await here.clinic()
             clinic.writer.write(frame(message(accept="AL", application="AL")))
             assert [a.code.value for a in await clinic.hear(2)] == ["CA", "AA"]
@@ -260,7 +262,7 @@
         async with place(slow) as here:
             clinic, idle = await here.clinic(), await here.clinic()
             clinic.writer.write(frame(message()) + frame(message("m2"))[:20])
-            await until(lambda: len(here.stub.seen) == 1 and len(here.front.lines) == 2)
+            await wait_until(lambda: len(here.stub.seen) == 1 and len(here.front.lines) == 2)
             here.front.drain()
             clinic.writer.write(frame(message("m2"))[20:] + frame(message("m3")))
             gate.set()
@@ -349,7 +351,7 @@
 
 def test_a_frame_of_60_mb_without_end_costs_its_connection_and_no_memory() -> None:
     async def main() -> None:
-        async with place(says(answer()), max_frame_kb=64) as here:
+        async with place(answers_with(answer()), max_frame_kb=64) as here:
             clinic = await here.clinic()
             clinic.writer.write(frame(message()))
             assert (await clinic.hear())[0].code.value == "AA"
@@ -359,7 +361,7 @@
                     clinic.writer.write(b"x" * (1 << 20))
                     await clinic.writer.drain()
                 await clinic.hear()
-            await until(lambda: not here.front.lines)
+            await wait_until(lambda: not here.front.lines)
 
     run(main())
 
@@ -381,7 +383,7 @@
 )
 def test_what_has_no_usable_header_is_rejected_and_the_connection_goes_on(content: bytes) -> None:
     async def main() -> None:
-        async with place(says(answer())) as here:
+        async with place(answers_with(answer())) as here:
             clinic = await here.clinic()
             assert await clinic.say(content) == "AR"
             assert await clinic.say(message()) == "AA" and len(here.stub.seen) == 1
@@ -391,7 +393,7 @@
 
 def test_odd_separators_and_charsets_go_through_unchanged() -> None:
     async def main() -> None:
-        async with place(says(answer())) as here:
+        async with place(answers_with(answer())) as here:
             clinic = await here.clinic()
             odd = message().replace(b"|", b"$").replace(b"^", b"%") + "NTE$1$$Бат\r".encode("cp1251")
             clinic.writer.write(frame(odd))
@@ -402,7 +404,7 @@
 
 def test_a_key_is_taken_from_the_field_that_the_mapping_names() -> None:
     async def main() -> None:
-        async with place(says(answer())) as here:
+        async with place(answers_with(answer())) as here:
             clinic = await here.clinic()
             for control in ("a", "b"):
                 assert await clinic.say(message(control, "SIU^S15")) == "AA"
@@ -416,7 +418,7 @@
 
 def test_what_an_http_sender_calls_hl7_is_not_taken_for_an_acknowledgement() -> None:
     async def main() -> None:
-        handler = says(answer(b"\x0bnone\x1c", Content_Type="application/hl7-v2"))
+        handler = answers_with(answer(b"\x0bnone\x1c", Content_Type="application/hl7-v2"))
         async with place(handler) as here:
             assert await (await here.clinic()).say(message()) == "AA"
 
@@ -425,7 +427,7 @@
 
 def test_an_acknowledgement_is_not_acknowledged() -> None:
     async def main() -> None:
-        async with place(says(answer())) as here:
+        async with place(answers_with(answer())) as here:
             clinic = await here.clinic()
             clinic.writer.write(frame(b"MSH|^~\\&|A|B|C|D|||ACK|7|P|2.5\rMSA|AA|m1\r") + frame(message()))
             heard = await clinic.hear()
@@ -445,7 +447,7 @@
         async with place(slow, pipelined=1) as here:
             clinic = await here.clinic()
             clinic.writer.write(frame(message()))
-            await until(lambda: len(here.stub.seen) == 1)
+            await wait_until(lambda: len(here.stub.seen) == 1)
             clinic.writer.write(frame(message("m2")) * 50)
             here.front.drain()
             gate.set()
@@ -467,7 +469,7 @@
         async with place(slow, connections=2) as here:
             busy, idle = await here.clinic(), await here.clinic()
             busy.writer.write(frame(message()))
-            await until(lambda: len(here.stub.seen) == 1 and len(here.front.lines) == 2)
+            await wait_until(lambda: len(here.stub.seen) == 1 and len(here.front.lines) == 2)
             for line in here.front.lines:
                 line.since -= 10
             other = await here.clinic()
@@ -481,9 +483,9 @@
 
 def test_a_client_that_reads_no_answers_is_not_read_either() -> None:
     async def main() -> None:
-        async with place(says(answer())) as here:
+        async with place(answers_with(answer())) as here:
             clinic = await here.clinic()
-            await until(lambda: bool(here.front.lines))
+            await wait_until(lambda: bool(here.front.lines))
             line = next(iter(here.front.lines))
             line.pause_writing()
             assert line.stopped
@@ -497,14 +499,14 @@
 def test_with_a_journal_a_restarted_balancer_gives_the_same_answer_and_sends_nothing() -> None:
     async def main() -> None:
         disk = Disk()
-        async with place(says(answer()), disk=disk) as here:
+        async with place(answers_with(answer()), disk=disk) as here:
             here.front.memory.horizon = -1
             clinic = await here.clinic()
             clinic.writer.write(frame(message(accept="AL", application="AL")))
             assert [a.code.value for a in await clinic.hear(2)] == ["CA", "AA"]
             first = here.front.memory.answered
         disk.power_cut()
-        async with place(says(answer()), disk=disk) as here:
+        async with place(answers_with(answer()), disk=disk) as here:
             known = here.front.memory.answered
             assert [e.answer for e in known.values()] == [e.answer for e in first.values()]
             clinic = await here.clinic()
@@ -517,7 +519,7 @@
 def test_a_full_disk_sends_nothing_and_says_send_it_again() -> None:
     async def main() -> None:
         disk = Disk()
-        async with place(says(answer()), disk=disk) as here:
+        async with place(answers_with(answer()), disk=disk) as here:
             here.front.memory.horizon = -1
             disk.room, journal = 0, here.front.journal
             assert journal is not None
@@ -525,7 +527,7 @@
             assert [await clinic.say(message()) for _ in range(2)] == ["AR", "AR"] and not here.stub.seen
             disk.room = None
             journal._recover()
-            await until(lambda: not journal.failed)
+            await wait_until(lambda: not journal.failed)
             assert await clinic.say(message()) == "AA" and len(here.stub.seen) == 1
 
     run(main())
--- a/tests/mllp/test_journal.py
+++ b/tests/mllp/test_journal.py
@@ -17,7 +17,7 @@
 from dykeshift.standins.disk import Disk
 from dykeshift.store.log import Recovered
 from dykeshift.store.records import LogFormatError
-from dykeshift.store.segments import Found, Segments
+from dykeshift.store.segments import RecoveredSegment, Segments
 
 S = 1_000_000_000
 
@@ -188,8 +188,10 @@
     run(main)
 
 
-def found(*records: Any, holes: list[tuple[int, int]] | None = None, size: int = 100, torn: int = 0) -> Found:
-    return Found(1, Recovered([encode(r) for r in records], torn, holes or [], size))
+def found(
+    *records: Any, holes: list[tuple[int, int]] | None = None, size: int = 100, torn: int = 0
+) -> RecoveredSegment:
+    return RecoveredSegment(1, Recovered([encode(r) for r in records], torn, holes or [], size))
 
 
 def test_damage_in_the_middle_moves_the_horizon_to_the_last_record_behind_it() -> None:
@@ -214,7 +216,9 @@
 
 def test_a_record_of_a_later_version_stops_the_start() -> None:
     with pytest.raises(LogFormatError, match="this version can't read"):
-        replay([Found(7, Recovered([b"\x92\x63\x01"], 0, [], 20))], Memory[int](0, complete=True), 1)
+        replay(
+            [RecoveredSegment(7, Recovered([b"\x92\x63\x01"], 0, [], 20))], Memory[int](0, complete=True), 1
+        )
 
 
 STEPS = st.lists(
--- a/tests/model/test_cold.py
+++ b/tests/model/test_cold.py
@@ -27,20 +27,25 @@
 class Ignores(Balancer):
     """Ignores the cold budget."""
 
-    def _cold_room(self, now: int, server: Server) -> bool:
+    def _within_cold_budget(self, now: int, server: Server) -> bool:
         return True
 
 
 class Alone(Balancer):
     """Counts the budget for itself alone: as many attempts a window as all together may send."""
 
-    def _cold_room(self, now: int, server: Server) -> bool:
+    def _within_cold_budget(self, now: int, server: Server) -> bool:
         if not self._cold(now, server):
             return True
-        if server.credited != self.sweeps:
-            each = self.arrivals * self.settings.balancers / max(1, len(self.pool)) * rules.SWEEP_SHARE
+        if server.credited_at_request != self.sweeps:
+            each = (
+                self.requests_per_window
+                * self.settings.balancers
+                / max(1, len(self.pool))
+                * rules.SWEEP_WINDOW_SHARE
+            )
             server.credit = self.settings.overload_multiple * self._warmth(now, server) * each
-            server.credited = self.sweeps
+            server.credited_at_request = self.sweeps
         return server.credit >= 1
 
 
@@ -65,7 +70,7 @@
     ("limit", "least", "most"), [(1, 0.02, 0.1), (20, 0.35, 0.45), (86, 0.55, 0.7), (1e9, 0.7, 0.7)]
 )
 def test_what_is_used_of_the_budget_leaves_room_for_chance(limit: float, least: float, most: float) -> None:
-    used = Balancer._used(limit)
+    used = Balancer._usable_budget_share(limit)
     assert least <= used <= most
-    if used < rules.MOST_USED:
-        assert used + rules.CHANCE * (used / limit) ** 0.5 == pytest.approx(1.0)
+    if used < rules.MAX_BUDGET_SHARE:
+        assert used + rules.WORK_DEVIATIONS * (used / limit) ** 0.5 == pytest.approx(1.0)
--- a/tests/model/test_mass.py
+++ b/tests/model/test_mass.py
@@ -14,7 +14,7 @@
 from dykeshift.model.world import FIRST, World, play
 from dykeshift.interface import Action, ListKind, Outcome, ServerList, ServerState
 from dykeshift.lab import plan as plans
-from dykeshift.rules import Balancer, Open, Server
+from dykeshift.rules import Balancer, OpenRequest, Server
 from tests.model.before import Timid
 from tests.model.test_cold import Alone
 
@@ -54,32 +54,32 @@
 class Again(Balancer):
     """Sends an unsafe request again after a reset."""
 
-    def _may_send(self, now: int, item: Open) -> bool:
-        return not item.closed and not item.live and len(item.attempts) < item.most
+    def _attempt_allowed(self, now: int, item: OpenRequest) -> bool:
+        return not item.closed and not item.attempts_in_flight and len(item.attempts) < item.max_attempts
 
 
 class Mum(Balancer):
     """Refuses without advice."""
 
-    def _advice(self, item: Open) -> int:
+    def _retry_after(self, item: OpenRequest) -> int:
         return 0
 
 
 class Anywhere(Balancer):
     """Repeats a keyed request in any rack."""
 
-    def _draw(self, now: int, item: Open) -> list[Server]:
+    def _sample(self, now: int, item: OpenRequest) -> list[Server]:
         return [s for s in self.ready if all(a.server is not s for a in item.attempts)][:3]
 
 
 class Loyal(Balancer):
     """Goes on sending to who drains or is gone."""
 
-    def _sort_out(self, now: int) -> None:
-        super()._sort_out(now)
+    def _rebuild_ready(self, now: int) -> None:
+        super()._rebuild_ready(now)
         self.ready = [s for s in self.servers.values() if s.entry.state is not ServerState.READY] + self.ready
-        self.sorted = True
-        self._gather(now)
+        self.ready_is_sorted = True
+        self._rebuild_pool(now)
 
 
 # Balancers come back with a list from before the senders' addresses changed hands, and lose answers then.
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -26,7 +26,7 @@
         runner.run(asyncio.wait_for(main, PATIENCE))
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait until the condition holds."""
     while not condition():
         await asyncio.sleep(0.002)
@@ -35,7 +35,7 @@
 Handler = Callable[["Stub", Message, asyncio.StreamWriter], Awaitable[None]]
 
 
-def says(data: bytes, close: bool = False) -> Handler:
+def answers_with(data: bytes, close: bool = False) -> Handler:
     """A handler that answers each request with these bytes."""
 
     async def handle(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
@@ -84,14 +84,14 @@
 
 
 @dataclass
-class Registry:
+class DiscoveryStub:
     """A discovery service: answers each call with the next of `replies`, waiting for one if there is none."""
 
     replies: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
     paths: list[str] = field(default_factory=list)
     address: tuple[str, int] = ("", 0)
 
-    async def start(self) -> Registry:
+    async def start(self) -> DiscoveryStub:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = server.sockets[0].getsockname()
         return self
@@ -171,19 +171,19 @@
     """A running balancer."""
 
     front: Front
-    registry: Registry
+    registry: DiscoveryStub
     address: tuple[str, int]
     given: config.Config
     reload: Reload
     services: list[Any]
 
-    def move(self, registry: Registry) -> None:
+    def move(self, registry: DiscoveryStub) -> None:
         """Reload with another discovery address, as on SIGHUP after the file has changed."""
         self.given = replace(self.given, discovery=registry.address)
         self.reload()
 
-    async def open(self) -> Caller:
-        return await Caller.to(self.address)
+    async def open(self) -> ClientConnection:
+        return await ClientConnection.to(self.address)
 
     async def ask(self, request: bytes) -> Message:
         return await ask_once(self.address, request)
@@ -191,7 +191,7 @@
 
 async def ask_once(address: tuple[str, int], request: bytes) -> Message:
     """Send one request on a new connection."""
-    caller = await Caller.to(address)
+    caller = await ClientConnection.to(address)
     try:
         return await caller.ask(request)
     finally:
@@ -199,14 +199,14 @@
 
 
 @dataclass
-class Caller:
+class ClientConnection:
     """A client's connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     @classmethod
-    async def to(cls, address: tuple[str, int]) -> Caller:
+    async def to(cls, address: tuple[str, int]) -> ClientConnection:
         """Open a new connection."""
         return cls(*await asyncio.open_connection(*address))
 
@@ -218,7 +218,7 @@
 @asynccontextmanager
 async def node(*upstreams: Stub, beside: Features = NONE, **changes: Any) -> AsyncIterator[Node]:
     """Run the whole balancer in this process, with these upstreams listed as s0, s1, ..."""
-    registry = await Registry().start()
+    registry = await DiscoveryStub().start()
     known = listing(1, True, *(instance(f"s{n}", u.address) for n, u in enumerate(upstreams)))
     given = config.parse({**configuration(registry.address, known), **changes}, beside.peering())
     ready: asyncio.Future[Node] = asyncio.get_running_loop().create_future()
@@ -226,7 +226,9 @@
     def started(front: Front, server: Any, reload: Reload, services: list[Any]) -> None:
         ready.set_result(Node(front, registry, server.address, given, reload, services))
 
-    task = asyncio.create_task(serve(given, lambda: ready.result().given, started=started, beside=beside))
+    task = asyncio.create_task(
+        serve(given, lambda: ready.result().given, on_started=started, feature_set=beside)
+    )
     try:
         yield await ready
     finally:
--- a/tests/node/test_agree.py
+++ b/tests/node/test_agree.py
@@ -22,7 +22,7 @@
 from dykeshift.store.disk import MachineDisk
 from dykeshift.store.files import Directory, Files
 from tests.node.messages import answer
-from tests.node.stubs import Node, Stub, configuration, node, run, says, until
+from tests.node.stubs import Node, Stub, answers_with, configuration, node, run, wait_until
 from tests.node.test_view import on as view_on
 from tests.node.test_view import ports
 
@@ -33,7 +33,7 @@
     chosen = msgspec.convert(
         {"voters": 3, "beat_s": 0.05, "lease_s": 2.0, "replace_s": 2.0, **options}, feature.Options
     )
-    return Features((*view_on().parts, (feature, chosen)))
+    return Features((*view_on().enabled, (feature, chosen)))
 
 
 class Unlocked(MachineDisk):
@@ -50,7 +50,7 @@
 async def call(one: feature.Service, method: bytes, path: bytes, **body: Any) -> tuple[int, dict[str, Any]]:
     """The answer to a console call."""
     got: asyncio.Future[tuple[int, dict[str, Any]]] = asyncio.get_running_loop().create_future()
-    order = one.host.offers.orders[method, path]
+    order = one.host.offers.deferred_calls[method, path]
     order(json.dumps(body).encode(), lambda status, text: got.set_result((status, json.loads(text))))
     return await got
 
@@ -61,12 +61,12 @@
 
 def test_three_balancers_agree_and_report_the_same_history() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         peers = ports(3)
         nodes = [node(stub, beside=on(), name=f"n{n}", peer_listen=peers[n], peers=peers) for n in range(3)]
         async with nodes[0] as a, nodes[1] as b, nodes[2] as c:
             every = [service(x) for x in (a, b, c)]
-            await until(lambda: any(s.core.voter.settled() for s in every))
+            await wait_until(lambda: any(s.core.voter.settled() for s in every))
             for n, one in enumerate(every):
                 status, reply = await propose(one, f"change {n}", n)
                 assert (status, reply["version"]) == (200, n + 1)
@@ -84,7 +84,7 @@
                 (200, {"version": 3, "entry": "change 2"})
             ]
             for one in every:
-                reply = json.loads(one.host.offers.calls[b"/agree"]())
+                reply = json.loads(one.host.offers.immediate_calls[b"/agree"]())
                 assert reply.keys() >= KEYS and reply["committed"] == 3 and reply["voters"] == [0, 1, 2]
             assert len({json.loads(s.status())["digest"] for s in every}) == 1
             assert (await call(every[0], b"PUT", b"/agree/rescue"))[0] == 409  # there is a majority
@@ -92,7 +92,7 @@
             every[2].drain()
             # waits a moment for another balancer to take over its seat; here there is none
             assert every[2].busy()
-            await until(lambda: not every[2].busy())
+            await wait_until(lambda: not every[2].busy())
             for one in (*every, *(s for x in (a, b, c) for s in x.services if s not in every)):
                 one.close()
 
@@ -104,12 +104,12 @@
     with_disk = replace(on(voters=1, folder=str(tmp_path)), disk=Unlocked())
 
     async def main(change: int) -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         peers = ports(1)
         async with node(stub, beside=with_disk, name="n", peer_listen=peers[0], peers=peers) as balancer:
             one = service(balancer)
             births.append(one.core.shared.birth)
-            await until(lambda: one.core.voter.settled())
+            await wait_until(lambda: one.core.voter.settled())
             status, reply = await propose(one, f"change {change}", change)
             assert (status, reply["version"]) == (200, change + 1), reply
             for each in balancer.services:
@@ -145,7 +145,7 @@
 def test_it_requires_the_view_and_is_not_imported_when_off(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     path.write_text("[agree]\n[view]\n")
-    assert [module.__name__ for module, _ in features.load(str(path), True, None).parts] == [
+    assert [module.__name__ for module, _ in features.load(str(path), True, None).enabled] == [
         "dykeshift.node.view",
         "dykeshift.node.agree",
     ]
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -16,7 +16,17 @@
 from dykeshift.engine import connection, server
 from dykeshift.engine.budget import Budget
 from tests.node.messages import Message, answer, read_message, request
-from tests.node.stubs import Caller, Node, Stub, node, run, says, service, settings, until
+from tests.node.stubs import (
+    ClientConnection,
+    Node,
+    Stub,
+    answers_with,
+    node,
+    run,
+    service,
+    settings,
+    wait_until,
+)
 
 BODY = bytes(range(256)) * 4096  # 1 MiB
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -64,7 +74,9 @@
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_an_answer_of_any_framing_is_passed_on_completely(sent: bytes, version: str) -> None:
     async def main() -> None:
-        stub = await Stub(says(sent, close=b"Content-Length" not in sent and b"chunked" not in sent)).start()
+        stub = await Stub(
+            answers_with(sent, close=b"Content-Length" not in sent and b"chunked" not in sent)
+        ).start()
         async with node(stub) as balancer:
             caller = await balancer.open()
             caller.writer.write(request("check").replace(b"HTTP/1.1", f"HTTP/{version}".encode()))
@@ -82,7 +94,7 @@
     """It is buffered, so that it gets a length and its connection stays open."""
 
     async def main() -> None:
-        stub = await Stub(says(CHUNKED + chunks(b"x" * 9000, 100) + b"0\r\n\r\n")).start()
+        stub = await Stub(answers_with(CHUNKED + chunks(b"x" * 9000, 100) + b"0\r\n\r\n")).start()
         async with node(stub) as balancer:
             got = await balancer.ask(request("check"))
             assert got.body == b"x" * 9000 and "transfer-encoding" not in got.headers
@@ -113,12 +125,12 @@
             assert b"200 OK" in head and not go_on.is_set()
             go_on.set()
             [client] = [c for c in balancer.front.clients if c.streamed_answer is not None]
-            await until(client.has_unsent_output)
+            await wait_until(client.has_unsent_output)
             assert written < 39  # the rest waits at the upstream and is not buffered here
             body = b"first" + await caller.reader.readexactly(40 * len(BODY) - 5)
             assert body == b"first" + BODY[5:] + 39 * BODY
-            await until(lambda: not balancer.front.driver.jobs)
-            assert balancer.front.driver.ledger.tier("check").success == 1
+            await wait_until(lambda: not balancer.front.driver.jobs)
+            assert balancer.front.driver.ledger.counts_of("check").success == 1
 
     run(main())
 
@@ -152,7 +164,7 @@
                 assert len(rest) < 2_000_000 and not rest.endswith(b"0\r\n\r\n")
             elif version == b"1.0" and b"chunked" in framing:
                 assert not closed_cleanly  # only a reset shows the truncation
-            await until(lambda: not balancer.front.driver.jobs)
+            await wait_until(lambda: not balancer.front.driver.jobs)
 
     run(main())
 
@@ -172,7 +184,7 @@
             caller.writer.write(request("check"))
             await caller.reader.readuntil(b"\r\n\r\n")
             caller.writer.transport.abort()
-            await until(lambda: not balancer.front.driver.jobs and not balancer.front.clients)
+            await wait_until(lambda: not balancer.front.driver.jobs and not balancer.front.clients)
             assert balancer.front.driver.ledger.inflight == 0 and balancer.front.driver.pool.open == 0
 
     run(main())
@@ -184,7 +196,7 @@
             if len(stubs[0].seen) + len(stubs[1].seen) == 1:
                 return  # the first attempt gets no answer
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY) + BODY[:9])
-            await until(lambda: sum(s.lost for s in stubs) == 1)
+            await wait_until(lambda: sum(s.lost for s in stubs) == 1)
             await expired.wait()
             writer.write(BODY[9:])
 
@@ -231,7 +243,7 @@
             while len(start) + len(rest) < len(BODY):
                 rest += await caller.reader.readuntil(BODY[-256:])
             assert (start + rest).partition(b"\r\n\r\n")[2] == BODY
-            assert balancer.front.driver.ledger.tiers["send"].success == 1
+            assert balancer.front.driver.ledger.class_counts["send"].success == 1
 
     run(main())
 
@@ -276,10 +288,10 @@
     writer.write(answer(b"done"))
 
 
-async def send_in_halves(balancer: Node, whole: bytes, between: Callable[[], bool]) -> Caller:
+async def send_in_halves(balancer: Node, whole: bytes, between: Callable[[], bool]) -> ClientConnection:
     caller = await balancer.open()
     caller.writer.write(whole[: len(whole) // 2])
-    await until(between)
+    await wait_until(between)
     caller.writer.write(whole[len(whole) // 2 :])
     return caller
 
@@ -360,7 +372,7 @@
             balancer.front.budget.limit = 100_000
             jobs = balancer.front.driver.jobs
             caller = await send_in_halves(balancer, long_request(BODY, False), lambda: bool(jobs))
-            await until(lambda: len(stub.seen) == 1)
+            await wait_until(lambda: len(stub.seen) == 1)
             [job] = jobs.values()
             now = balancer.front.clock.monotonic_ns()
             assert 0 < job.deadline - now <= 4_000_000_000
@@ -375,7 +387,7 @@
     monkeypatch.setattr(server, "REQUEST_TIMEOUT", 0.15)
 
     async def main() -> None:
-        stub = await Stub(says(answer(b"done"))).start()
+        stub = await Stub(answers_with(answer(b"done"))).start()
         async with node(stub) as balancer:
             steady, idle = await balancer.open(), await balancer.open()
             idle.writer.write(request(body=b"x" * 1000)[:-500])
--- a/tests/node/test_carried_over.py
+++ b/tests/node/test_carried_over.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from dykeshift.engine.discovery import number_of
+from dykeshift.engine.discovery import instance_number
 from dykeshift.handover.folder import Folder
 from dykeshift.node.together import ProcessGroup
 from tests.node.messages import Message, answer, instance, listing, request
-from tests.node.stubs import Stub, node, run, says, service, settings, until
+from tests.node.stubs import Stub, answers_with, node, run, service, settings, wait_until
 
 
 def elsewhere(name: str, stub: Stub, **changes: Any) -> dict[str, Any]:
@@ -22,15 +22,18 @@
 
 def test_a_known_list_of_another_configuration_serves_until_discovery_answers() -> None:
     async def main() -> None:
-        here, there = await Stub(says(answer(b"here"))).start(), await Stub(says(answer(b"there"))).start()
+        here, there = (
+            await Stub(answers_with(answer(b"here"))).start(),
+            await Stub(answers_with(answer(b"there"))).start(),
+        )
         async with node(here, known=listing(900, True, elsewhere("x9", there))) as balancer:
             assert (await balancer.ask(request(rid="r0"))).body == b"there"
-            await until(lambda: bool(balancer.registry.paths))
+            await wait_until(lambda: bool(balancer.registry.paths))
             # other generations: this discovery never had the known list
             balancer.registry.put(listing(3, False))
             balancer.registry.put(listing(3, True, instance("s0", here.address)))
-            await until(lambda: balancer.front.driver.ready == {number_of("s0")})
-            assert set(balancer.front.driver.balancer.servers) >= {number_of("s0")}
+            await wait_until(lambda: balancer.front.driver.ready == {instance_number("s0")})
+            assert set(balancer.front.driver.balancer.servers) >= {instance_number("s0")}
             for n in range(1, 6):
                 assert (await balancer.ask(request(rid=f"r{n}"))).body == b"here"
             assert len(there.seen) == 1
@@ -68,7 +71,7 @@
         given = settings(services=[service("set", "token", group="zone")])
         async with node(settings=given, known=None) as balancer:
             balancer.registry.put(listing(9, True, *rows))
-            await until(lambda: len(balancer.front.driver.ready) == 3)
+            await wait_until(lambda: len(balancer.front.driver.ready) == 3)
             assert (await balancer.ask(request("set", rid="r1"))).start.split()[1] == "500"
             assert sum(len(stub.seen) for stub in stubs) == 1
 
@@ -77,11 +80,11 @@
 
 def test_a_known_address_that_now_belongs_to_another_server_is_dropped() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub, known=listing(3, True, elsewhere("x9", stub))) as balancer:
-            await until(lambda: bool(balancer.registry.paths))
+            await wait_until(lambda: bool(balancer.registry.paths))
             balancer.registry.put(listing(4, False, instance("s0", stub.address)))
-            await until(lambda: balancer.front.driver.ready == {number_of("s0")})
+            await wait_until(lambda: balancer.front.driver.ready == {instance_number("s0")})
             assert (await balancer.ask(request())).body == b"done"
 
     run(main())
@@ -97,7 +100,7 @@
     before = sorted(tmp_path.iterdir())
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             assert (await balancer.ask(request())).body == b"done"
             assert not balancer.front.driver.balancer.banned
@@ -108,7 +111,7 @@
 
 def test_bans_of_unknown_servers_affect_no_listed_server(tmp_path: Path) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         with Folder(str(tmp_path)).change() as stored:
             for name in ("x1", "x2"):
                 stored.enter(name, 5)
@@ -116,7 +119,7 @@
         async with node(stub) as balancer:
             front = balancer.front
             ProcessGroup(front.loop, front.clock, Folder(str(tmp_path)), front.driver, front).restore()
-            assert set(front.driver.balancer.banned) == {number_of("x1")}
+            assert set(front.driver.balancer.banned) == {instance_number("x1")}
             assert (await balancer.ask(request())).body == b"done"
 
     run(main())
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -13,9 +13,9 @@
 
 from dykeshift.clock import SystemClock
 from dykeshift.engine import drain, server
-from dykeshift.engine.drain import Hurry, Open, Orders, State
+from dykeshift.engine.drain import Actions, OpenConnections, State, Urgency
 from tests.node.messages import answer, request
-from tests.node.stubs import Node, Stub, node, run, says, service, settings, silent, until
+from tests.node.stubs import Node, Stub, answers_with, node, run, service, settings, silent, wait_until
 from tests.node.test_gone import connected
 
 Action = Callable[[], None]
@@ -61,18 +61,18 @@
 async def make_idle(balancer: Node, client: socket.socket) -> None:
     """Send one request on the connection and leave it open."""
     client.sendall(request(rid="first"))
-    await until(lambda: any(one.answers and not one.busy for one in balancer.front.clients))
+    await wait_until(lambda: any(one.answers and not one.busy for one in balancer.front.clients))
     client.setblocking(False)
     assert b"done" in await asyncio.get_running_loop().sock_recv(client, 65536)
     client.setblocking(True)
 
 
 def idle_timeout(balancer: Node, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "ONCE", 0.0)
+    monkeypatch.setattr(server, "SHORT_IDLE_TIMEOUT", 0.0)
 
 
 def standby(balancer: Node, monkeypatch: pytest.MonkeyPatch) -> None:
-    balancer.front.close_idle(Orders(close_kept=True))
+    balancer.front.close_idle(Actions(close_kept=True))
 
 
 def connection_limit(balancer: Node, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -89,7 +89,7 @@
 
     async def main() -> None:
         race = Race(monkeypatch)
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             client = await connected(balancer)
             await make_idle(balancer, client)
@@ -103,17 +103,17 @@
 
 
 def when_over(balancer: Node, action: Action) -> None:
-    """Run the action right after the call of Drain.look that ends the process."""
+    """Run the action right after the call of Drain.step that ends the process."""
     drained = balancer.front.drain
-    original = drained.look
+    original = drained.step
 
-    def look(now: float, found: Open, hurry: Hurry = Hurry.NONE) -> Orders:
-        orders = original(now, found, hurry)
+    def step(now: float, found: OpenConnections, urgency: Urgency = Urgency.NONE) -> Actions:
+        orders = original(now, found, urgency)
         if drained.state is State.OVER:
             action()
         return orders
 
-    drained.look = look  # type: ignore[method-assign]
+    drained.step = step  # type: ignore[method-assign]
 
 
 def around_refusal(balancer: Node, before: Action, after: Action) -> None:
@@ -140,10 +140,10 @@
 
     If its connection is still open it is refused, so that its client knows that it was not executed.
     """
-    monkeypatch.setattr(drain, "LINGER", 0.0)
+    monkeypatch.setattr(drain, "ACCEPT_GRACE", 0.0)
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             client = await connected(balancer)
             if used:
@@ -159,7 +159,7 @@
 
 def test_incomplete_requests_are_refused_as_the_process_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whether the last byte arrives before or after the refusal, or never; none is forwarded."""
-    monkeypatch.setattr(drain, "LINGER", 0.0)
+    monkeypatch.setattr(drain, "ACCEPT_GRACE", 0.0)
 
     async def main() -> None:
         stub = await Stub(silent).start()
@@ -169,12 +169,12 @@
             data = request(rid="before", deadline=200)
             for client in (before, after, half):
                 client.sendall(data[:-3])
-            await until(lambda: sum(bool(one.request_began) for one in balancer.front.clients) == 3)
+            await wait_until(lambda: sum(bool(one.request_began) for one in balancer.front.clients) == 3)
             around_refusal(balancer, lambda: before.sendall(data[-3:]), lambda: after.sendall(data[-3:]))
             signal.raise_signal(signal.SIGTERM)
             for client in (before, after, half):
                 assert (await received(client)).startswith(b"HTTP/1.1 503 ")
-            await until(lambda: balancer.front.drain.state is State.OVER)
+            await wait_until(lambda: balancer.front.drain.state is State.OVER)
             assert not stub.seen
 
     run(main())
@@ -185,7 +185,7 @@
 
 async def warm_up(balancer: Node, stub: Stub) -> None:
     assert (await balancer.ask(request(rid="first"))).body == b"done"
-    await until(lambda: all(u.idle for u in balancer.front.driver.pool.upstreams.values()))
+    await wait_until(lambda: all(u.idle for u in balancer.front.driver.pool.upstreams.values()))
 
 
 def half_a_line(stub: Stub) -> None:
@@ -205,11 +205,11 @@
     """Whether it has been read before the next request or not, that is sent on another connection."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             await warm_up(balancer, stub)
             send_half(stub)
-            await until(lambda: stub.lost == 1)
+            await wait_until(lambda: stub.lost == 1)
             assert (await balancer.ask(request(rid="read"))).body == b"done"
             stub.writers.pop(0)
             caller = await connected(balancer)
@@ -230,7 +230,7 @@
 
     async def main() -> None:
         race = Race(monkeypatch)
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             await warm_up(balancer, stub)
             race.arm(stub.address, lambda: send_half(stub))
@@ -249,14 +249,14 @@
     send_half: Callable[[Stub], None], monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             await warm_up(balancer, stub)
             pool = balancer.front.driver.pool
             [upstream] = pool.upstreams.values()
             send_half(stub)
             pool._close_idle(upstream)
-            await until(lambda: stub.lost == 1 and pool.open == 0)
+            await wait_until(lambda: stub.lost == 1 and pool.open == 0)
             assert (await balancer.ask(request(rid="next"))).body == b"done"
         assert not caplog.records
 
@@ -270,7 +270,7 @@
     """A close with unread input resets the connection and drops writes that Nagle's algorithm delays."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             await warm_up(balancer, stub)
             client = await connected(balancer)
--- a/tests/node/test_crowded.py
+++ b/tests/node/test_crowded.py
@@ -19,7 +19,7 @@
 
 from tests.node.messages import instance, listing, request
 from tests.node.stubs import configuration
-from tests.node.test_one_process import FEW, with_few_descriptors
+from tests.node.test_one_process import DESCRIPTOR_LIMIT, with_few_descriptors
 
 Address = tuple[str, int]
 
@@ -63,7 +63,9 @@
     def __init__(self, address: Address) -> None:
         self.address, self.stopped = address, threading.Event()
         self.turned_away = threading.Event()  # set once the balancer has closed a connection
-        self.threads = [threading.Thread(target=self.connect, daemon=True) for _ in range(3 * FEW)]
+        self.threads = [
+            threading.Thread(target=self.connect, daemon=True) for _ in range(3 * DESCRIPTOR_LIMIT)
+        ]
         for thread in self.threads:
             thread.start()
 
@@ -116,7 +118,7 @@
 
 def configured(mode: str, discovery: Address, **changes: Any) -> dict[str, Any]:
     given = {**configuration(discovery), "listen": "%s:%d" % free_address(), **changes}
-    given["limits"] = {"sockets": FEW, "memory_mb": 64}
+    given["limits"] = {"sockets": DESCRIPTOR_LIMIT, "memory_mb": 64}
     given["settings"]["discovery"] = mode
     given["settings"]["bounds"]["keepaliveNs"] = 3600_000_000_000  # idle connections stay open
     return given
@@ -197,7 +199,7 @@
     tmp_path: Path, mode: str
 ) -> None:
     """Both together used up all descriptors of a small process, so that discovery could not be connected."""
-    servers, added = upstreams(FEW), server(("127.0.0.1", 0), lambda _: b"added")
+    servers, added = upstreams(DESCRIPTOR_LIMIT), server(("127.0.0.1", 0), lambda _: b"added")
     rows = rows_of(servers)
     removed, new = (
         [{**row, "lifecycle": "leaving"} for row in rows],
@@ -205,7 +207,10 @@
     )
     back = Discovery(*removed, new)
     given = configured(mode, back.address, known=listing(1, True, *rows))
-    with crowded(tmp_path, given, [request(rid=f"r{n}") for n in range(6 * FEW)]) as daemon, back:
+    with (
+        crowded(tmp_path, given, [request(rid=f"r{n}") for n in range(6 * DESCRIPTOR_LIMIT)]) as daemon,
+        back,
+    ):
         n = 0
         while b"added" not in ask(address_of(given), request(rid=f"s{n}")):
             n += 1
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -13,10 +13,16 @@
 from dykeshift.clock import SYSTEM
 from dykeshift.interface import Action, CallEnd, ListKind, ServerList, ServerState
 from dykeshift.engine import discovery
-from dykeshift.engine.discovery import ANSWER_TIMEOUT_S, HOLD_MS, QUIET, Reader, number_of
-from dykeshift.rules import SPREAD, TOLD, UNANSWERED
+from dykeshift.engine.discovery import (
+    ANSWER_TIMEOUT_S,
+    HOLD_MS,
+    REPEATED_ANSWER_TIMEOUT_S,
+    ListReader,
+    instance_number,
+)
+from dykeshift.rules import REOPEN_SPREAD_SHARE, INFORMED_AFTER_NS, UNANSWERED_PAUSE_SHARES
 from tests.node.messages import answer, instance, listing, read_message, request
-from tests.node.stubs import Node, Registry, Stub, node, run, says, settings, until
+from tests.node.stubs import Node, DiscoveryStub, Stub, node, run, answers_with, settings, wait_until
 
 
 def record_lists(balancer: Node) -> list[ServerList]:
@@ -47,15 +53,18 @@
 
 def test_a_watch_continues_from_the_generation_of_each_answer() -> None:
     async def main() -> None:
-        old, new = await Stub(says(answer(b"old"))).start(), await Stub(says(answer(b"new"))).start()
+        old, new = (
+            await Stub(answers_with(answer(b"old"))).start(),
+            await Stub(answers_with(answer(b"new"))).start(),
+        )
         async with node(old) as balancer:
             registry = balancer.registry
-            await until(lambda: len(registry.paths) == 1)
+            await wait_until(lambda: len(registry.paths) == 1)
             assert registry.paths[0].startswith("/v1/endpoints?from=1&hold_ms=")
             registry.put(
                 listing(5, False, instance("s0", old.address, "leaving"), instance("s1", new.address))
             )
-            await until(lambda: len(registry.paths) == 2)
+            await wait_until(lambda: len(registry.paths) == 2)
             assert registry.paths[1].startswith("/v1/endpoints?from=5&hold_ms=")
             for n in range(6):
                 assert (await balancer.ask(request(rid=f"r{n}"))).body == b"new"
@@ -66,11 +75,14 @@
 
 def test_a_full_list_removes_upstreams_that_are_not_on_it() -> None:
     async def main() -> None:
-        old, new = await Stub(says(answer(b"old"))).start(), await Stub(says(answer(b"new"))).start()
+        old, new = (
+            await Stub(answers_with(answer(b"old"))).start(),
+            await Stub(answers_with(answer(b"new"))).start(),
+        )
         async with node(old) as balancer:
             assert (await balancer.ask(request(rid="r0"))).body == b"old"
             balancer.registry.put(listing(9, True, instance("s1", new.address)))
-            await until(lambda: number_of("s0") not in balancer.front.driver.pool.upstreams)
+            await wait_until(lambda: instance_number("s0") not in balancer.front.driver.pool.upstreams)
             for n in range(1, 6):
                 assert (await balancer.ask(request(rid=f"r{n}"))).body == b"new"
             assert len(old.seen) == 1
@@ -80,13 +92,16 @@
 
 def test_a_restart_at_a_new_address_is_followed() -> None:
     async def main() -> None:
-        old, new = await Stub(says(answer(b"old"))).start(), await Stub(says(answer(b"new"))).start()
+        old, new = (
+            await Stub(answers_with(answer(b"old"))).start(),
+            await Stub(answers_with(answer(b"new"))).start(),
+        )
         async with node(old) as balancer:
             assert (await balancer.ask(request(rid="r0"))).body == b"old"
             # Started long enough ago to be warm, so that nothing but the address matters here.
             started = time.time_ns() // 1_000_000 - 60_000
             balancer.registry.put(listing(2, False, instance("s0", new.address, startedAtMs=started)))
-            await until(lambda: old.lost == 1)  # its idle connection is closed
+            await wait_until(lambda: old.lost == 1)  # its idle connection is closed
             assert (await balancer.ask(request(rid="r1"))).body == b"new"
 
     run(main())
@@ -123,15 +138,15 @@
 )
 def test_an_invalid_update_is_ignored_reported_as_failed_and_requested_again(reply: bytes) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         changed = settings()
         changed["obligations"]["askEveryNs"] = 100_000_000
         async with node(stub, settings=changed) as balancer:
             events = record_lists(balancer)
             balancer.registry.replies.put_nowait(reply)
-            await until(lambda: bool(events))
+            await wait_until(lambda: bool(events))
             assert events[0].kind is ListKind.FAILED
-            await until(lambda: len(balancer.registry.paths) == 2)
+            await wait_until(lambda: len(balancer.registry.paths) == 2)
             assert "from=1&" in balancer.registry.paths[1]
             assert (await balancer.ask(request())).body == b"done"
 
@@ -140,13 +155,13 @@
 
 def test_after_the_module_raises_on_a_list_the_full_list_is_requested() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         changed = settings()
         changed["obligations"]["askEveryNs"] = 100_000_000
         async with node(stub, settings=changed) as balancer:
             fail_once(balancer)
             balancer.registry.put(listing(2, False, instance("s0", stub.address, "leaving")))
-            await until(lambda: len(balancer.registry.paths) == 2)
+            await wait_until(lambda: len(balancer.registry.paths) == 2)
             assert balancer.registry.paths[1] == "/v1/endpoints"
 
     run(main())
@@ -156,7 +171,7 @@
 def test_without_a_valid_cached_list_the_full_list_is_requested(known: Any) -> None:
     async def main() -> None:
         async with node(known=known) as balancer:
-            await until(lambda: len(balancer.registry.paths) == 1)
+            await wait_until(lambda: len(balancer.registry.paths) == 1)
             assert balancer.registry.paths == ["/v1/endpoints"]
 
     run(main())
@@ -166,10 +181,10 @@
     """Otherwise a watch may wait 22 s for an answer while servers leave that the list still shows."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             began = time.monotonic()
-            await until(lambda: len(balancer.registry.paths) == 2)  # the first call got no answer
+            await wait_until(lambda: len(balancer.registry.paths) == 2)  # the first call got no answer
             assert time.monotonic() - began < 10
             hold = int(balancer.registry.paths[0].partition("hold_ms=")[2])
             assert hold / 1000 + ANSWER_TIMEOUT_S <= 4.0  # a change counts as announced soon after
@@ -179,11 +194,13 @@
 
 def test_a_change_reaches_the_balancer_before_it_counts_as_announced() -> None:
     """The longest chain: time-out, pause, connect, and an answer that takes all the time it may."""
-    announced, hold = TOLD / 1e9, HOLD_MS / 1e3
-    assert hold + QUIET + SPREAD * announced + ANSWER_TIMEOUT_S <= announced  # an unanswered watch
+    announced, hold = INFORMED_AFTER_NS / 1e9, HOLD_MS / 1e3
+    assert (
+        hold + REPEATED_ANSWER_TIMEOUT_S + REOPEN_SPREAD_SHARE * announced + ANSWER_TIMEOUT_S <= announced
+    )  # an unanswered watch
     # The next call is not delayed by this one.
-    assert hold + ANSWER_TIMEOUT_S <= UNANSWERED[0] * announced
-    assert UNANSWERED[1] * announced < announced  # a call made just before discovery came back
+    assert hold + ANSWER_TIMEOUT_S <= UNANSWERED_PAUSE_SHARES[0] * announced
+    assert UNANSWERED_PAUSE_SHARES[1] * announced < announced  # a call made just before discovery came back
 
 
 FULL_LIST = answer(json.dumps(listing(2, True)).encode())
@@ -211,7 +228,7 @@
             events = record_lists(balancer)
             for reply in replies:
                 balancer.registry.replies.put_nowait(reply)
-            await until(lambda: any(update.kind is ListKind.FAILED for update in events))
+            await wait_until(lambda: any(update.kind is ListKind.FAILED for update in events))
             assert events[-1].end is end
 
     run(main())
@@ -225,8 +242,8 @@
         async with node() as balancer:
             events = record_lists(balancer)
             balancer.reload.discovery.move(address)
-            balancer.front.driver.discovery_moved()
-            await until(lambda: bool(events))
+            balancer.front.driver.discovery_address_changed()
+            await wait_until(lambda: bool(events))
             assert [update.end for update in events] == [CallEnd.UNREACHED]
 
     run(main())
@@ -237,7 +254,7 @@
         async with node() as balancer:
             fail_once(balancer)
             balancer.registry.replies.put_nowait(answer(b"", "503 Service Unavailable"))
-            await until(lambda: len(balancer.registry.paths) == 2)
+            await wait_until(lambda: len(balancer.registry.paths) == 2)
 
     run(main())
 
@@ -245,15 +262,17 @@
 def test_pushed_lists_are_watched_without_a_request_of_the_module() -> None:
     async def main() -> None:
         async with node(settings=settings(discovery="push")) as balancer:
-            await until(lambda: len(balancer.registry.paths) == 1)
+            await wait_until(lambda: len(balancer.registry.paths) == 1)
             balancer.registry.replies.put_nowait(answer(b"", "503 Service Unavailable"))
-            await until(lambda: len(balancer.registry.paths) == 2)  # the local agent is called again at once
+            await wait_until(
+                lambda: len(balancer.registry.paths) == 2
+            )  # the local agent is called again at once
 
     run(main())
 
 
 def test_start_times_are_converted_to_the_monotonic_clock() -> None:
-    reader = Reader(SYSTEM, ("a",), ("m",))
+    reader = ListReader(SYSTEM, ("a",), ("m",))
     began = time.time_ns() // 1_000_000 - 3000
     _, _, rows = reader.read(
         listing(
@@ -273,15 +292,15 @@
 @pytest.mark.parametrize("way", ["ask", "push"])
 def test_a_watch_ended_by_a_change_of_address_is_not_reported_as_a_failure(way: str) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        other = await Registry().start()
+        stub = await Stub(answers_with(answer())).start()
+        other = await DiscoveryStub().start()
         async with node(stub, settings=settings(discovery=way)) as balancer:
-            await until(lambda: len(balancer.registry.paths) == 1)
+            await wait_until(lambda: len(balancer.registry.paths) == 1)
             events = record_lists(balancer)
             balancer.move(other)
-            await until(lambda: len(other.paths) == 1)
+            await wait_until(lambda: len(other.paths) == 1)
             other.put(listing(1, True, instance("s0", stub.address)))
-            await until(lambda: len(other.paths) == 2)
+            await wait_until(lambda: len(other.paths) == 2)
             assert [update.kind for update in events] == [ListKind.FULL]
             assert len(balancer.registry.paths) == 1
 
@@ -290,15 +309,15 @@
 
 def test_a_change_of_address_ends_the_pause_after_a_failure() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        other = await Registry().start()
+        stub = await Stub(answers_with(answer())).start()
+        other = await DiscoveryStub().start()
         async with node(stub) as balancer:
             events = record_lists(balancer)
             balancer.registry.replies.put_nowait(answer(b"", "503 Service Unavailable"))
-            await until(lambda: bool(events))
+            await wait_until(lambda: bool(events))
             balancer.move(other)
-            await until(lambda: other.paths == ["/v1/endpoints"])
-            assert balancer.front.driver.balancer.in_vain == 0 and len(balancer.registry.paths) == 1
+            await wait_until(lambda: other.paths == ["/v1/endpoints"])
+            assert balancer.front.driver.balancer.failed_calls == 0 and len(balancer.registry.paths) == 1
 
     run(main())
 
@@ -310,41 +329,41 @@
     """
 
     async def main() -> None:
-        stubs = [await Stub(says(answer())).start() for _ in range(3)]
-        other = await Registry().start()
+        stubs = [await Stub(answers_with(answer())).start() for _ in range(3)]
+        other = await DiscoveryStub().start()
         async with node(*stubs) as balancer:
             first = balancer.registry
-            await until(lambda: len(first.paths) == 1)
+            await wait_until(lambda: len(first.paths) == 1)
             balancer.move(other)
-            await until(lambda: len(other.paths) == 1)
+            await wait_until(lambda: len(other.paths) == 1)
             first.put(listing(2, False, instance("s0", stubs[0].address, "leaving")))
             driver = balancer.front.driver
-            await until(lambda: len(driver.ready) == 2)
-            await until(lambda: len(first.paths) == 2)
+            await wait_until(lambda: len(driver.ready) == 2)
+            await wait_until(lambda: len(first.paths) == 2)
             assert first.paths[1].startswith("/v1/endpoints?from=2&")
             first.put(listing(3, False, instance("s1", stubs[1].address, "leaving")))
-            await until(lambda: len(driver.ready) == 1)
+            await wait_until(lambda: len(driver.ready) == 1)
             other.put(listing(7, True, *(instance(f"s{n}", stubs[n].address) for n in range(3))))
-            await until(lambda: len(driver.ready) == 3 and len(other.paths) == 2)
+            await wait_until(lambda: len(driver.ready) == 3 and len(other.paths) == 2)
             assert other.paths[1].startswith("/v1/endpoints?from=7&")
-            await until(lambda: balancer.reload.discovery.previous_task is None)
+            await wait_until(lambda: balancer.reload.discovery.previous_task is None)
 
     run(main())
 
 
 def test_lists_from_the_previous_address_are_ignored_once_the_new_one_has_answered() -> None:
     async def main() -> None:
-        stubs = [await Stub(says(answer())).start() for _ in range(2)]
-        other = await Registry().start()
+        stubs = [await Stub(answers_with(answer())).start() for _ in range(2)]
+        other = await DiscoveryStub().start()
         async with node(*stubs) as balancer:
-            await until(lambda: len(balancer.registry.paths) == 1)
+            await wait_until(lambda: len(balancer.registry.paths) == 1)
             balancer.move(other)
             other.put(listing(7, True, instance("s0", stubs[0].address)))
             driver = balancer.front.driver
-            await until(lambda: len(driver.ready) == 1)
+            await wait_until(lambda: len(driver.ready) == 1)
             balancer.registry.put(listing(2, True, *(instance(f"s{n}", stubs[n].address) for n in range(2))))
             other.put(listing(8, False))
-            await until(lambda: len(other.paths) == 3)
+            await wait_until(lambda: len(other.paths) == 3)
             assert len(driver.ready) == 1
 
     run(main())
@@ -353,7 +372,7 @@
 def test_a_wall_clock_that_is_behind_makes_no_server_start_in_the_future() -> None:
     """The wall clock is behind when the reader is created; a start time is converted at its first listing."""
     clock = SlowWallClock()
-    reader = Reader(clock, ("a",), ("m",))
+    reader = ListReader(clock, ("a",), ("m",))
     clock.now += 5_000_000_000
     row = instance("s0", ("127.0.0.1", 80), startedAtMs=100_000_000)
     [one] = reader.read(listing(1, True, row))[2]
@@ -407,7 +426,7 @@
 def test_a_new_server_is_cold_however_wrong_the_wall_clock_was_at_start(off: int) -> None:
     """With the wall clock an hour ahead, later starts seemed an hour old, and there was no slow start."""
     clock = WallClock(off * SECOND)
-    reader = Reader(clock, ("a",), ("m",))
+    reader = ListReader(clock, ("a",), ("m",))
     reader.read(listing(1, True, instance("s0", ("127.0.0.1", 1))))
     reader.note_answer()
     clock.now += 5 * SECOND
@@ -434,23 +453,23 @@
     """A restarted discovery counts anew: its changes do not name the servers that left before them."""
 
     async def main() -> None:
-        stubs = [await Stub(says(answer())).start() for _ in range(3)]
+        stubs = [await Stub(answers_with(answer())).start() for _ in range(3)]
         s0, s1, s2 = (instance(f"s{n}", stub.address) for n, stub in enumerate(stubs))
         known = listing(41, True, s0, s1, s2)
         async with node(*stubs, known=known) as balancer:
             registry, driver = balancer.registry, balancer.front.driver
-            await until(lambda: len(registry.paths) == 1)
+            await wait_until(lambda: len(registry.paths) == 1)
             assert registry.paths[0].startswith("/v1/endpoints?from=41&")
             registry.put(listing(5, False, *(instance(name, stubs[0].address, "leaving") for name in rows)))
-            await until(lambda: len(registry.paths) == 2)
+            await wait_until(lambda: len(registry.paths) == 2)
             assert registry.paths[1] == "/v1/endpoints"
             assert len(driver.ready) == 3 - len(rows)  # the changes are applied
             if not rows:  # no confirmation that the cached list is still valid
-                assert not any(server.sure for server in driver.balancer.servers.values())
+                assert not any(server.confirmed for server in driver.balancer.servers.values())
             registry.put(listing(6, True, s0, s2))
-            await until(lambda: len(registry.paths) == 3)
+            await wait_until(lambda: len(registry.paths) == 3)
             assert registry.paths[2].startswith("/v1/endpoints?from=6&")
-            assert driver.ready == {number_of("s0"), number_of("s2")}
+            assert driver.ready == {instance_number("s0"), instance_number("s2")}
 
     run(main())
 
@@ -459,25 +478,28 @@
     """Only a restarted discovery answers with an older generation than requested: it has no newer list."""
 
     async def main() -> None:
-        old, new = await Stub(says(answer(b"old"))).start(), await Stub(says(answer(b"new"))).start()
+        old, new = (
+            await Stub(answers_with(answer(b"old"))).start(),
+            await Stub(answers_with(answer(b"new"))).start(),
+        )
         async with node(old, known=listing(41, True, instance("s0", old.address))) as balancer:
             registry = balancer.registry
-            await until(lambda: len(registry.paths) == 1)
+            await wait_until(lambda: len(registry.paths) == 1)
             registry.put(listing(1, True, instance("s1", new.address)))
-            await until(lambda: len(registry.paths) == 2)
+            await wait_until(lambda: len(registry.paths) == 2)
             assert registry.paths[1].startswith("/v1/endpoints?from=1&")
             assert (await balancer.ask(request())).body == b"new"
             registry.put(listing(2, False, instance("s1", new.address, "leaving")))
-            await until(lambda: not balancer.front.driver.ready)
+            await wait_until(lambda: not balancer.front.driver.ready)
 
     run(main())
 
 
 def test_changes_are_not_requested_on_top_of_an_incomplete_cached_list() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub, known=listing(41, False, instance("s0", stub.address))) as balancer:
-            await until(lambda: len(balancer.registry.paths) == 1)
+            await wait_until(lambda: len(balancer.registry.paths) == 1)
             assert balancer.registry.paths == ["/v1/endpoints"]
             assert (await balancer.ask(request())).body == b"done"
 
@@ -490,7 +512,7 @@
     monkeypatch.setattr(discovery, "HOLD_MS", 50)
 
     async def main() -> None:
-        stubs = [await Stub(says(answer())).start() for _ in range(2)]
+        stubs = [await Stub(answers_with(answer())).start() for _ in range(2)]
         rows = [instance(f"s{n}", stub.address) for n, stub in enumerate(stubs)]
         calls: list[asyncio.StreamWriter] = []
         paths: list[str] = []
@@ -506,12 +528,12 @@
         async with node(*stubs, settings=given) as balancer:
             driver = balancer.front.driver
             balancer.reload.discovery.move(server.sockets[0].getsockname())
-            await until(lambda: len(calls) == 2)  # the first call has timed out
+            await wait_until(lambda: len(calls) == 2)  # the first call has timed out
             calls[1].write(answer(json.dumps(listing(9, True, rows[0])).encode()))
-            await until(lambda: len(driver.ready) == 1)
+            await wait_until(lambda: len(driver.ready) == 1)
             calls[0].write(answer(json.dumps(listing(8, True, *rows)).encode()))
-            await until(lambda: len(paths) > 3)
-            assert driver.ready == {number_of("s0")}
+            await wait_until(lambda: len(paths) > 3)
+            assert driver.ready == {instance_number("s0")}
         server.close()
 
     run(main())
--- a/tests/node/test_drain.py
+++ b/tests/node/test_drain.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from dykeshift.engine import drain as module
-from dykeshift.engine.drain import Drain, Hurry, Open, State
+from dykeshift.engine.drain import Drain, OpenConnections, State, Urgency
 from tests.node.messages import answer, read_message, request
-from tests.node.stubs import Stub, node, run, says, silent, until
+from tests.node.stubs import Stub, answers_with, node, run, silent, wait_until
 
 READY = b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n"
 EVENTS = st.lists(
@@ -21,7 +21,7 @@
     ),
     max_size=40,
 )
-HURRY = {"refuse": Hurry.REFUSE, "exit": Hurry.EXIT}
+HURRY = {"refuse": Urgency.REFUSE, "exit": Urgency.EXIT}
 
 
 @given(EVENTS, st.booleans())
@@ -43,26 +43,29 @@
             ending = now if ending is None else ending
         else:
             no_time_left = event in HURRY
-            found = Open(busy=event in ("busy", "refuse", "exit"), silent=event == "silent")
-            orders = drain.look(now, found, HURRY.get(event, Hurry.NONE))
+            found = OpenConnections(busy=event in ("busy", "refuse", "exit"), silent=event == "silent")
+            orders = drain.step(now, found, HURRY.get(event, Urgency.NONE))
             since = ending if ending is not None else draining
             age = -1.0 if since is None else now - since
-            minimum_age = {"look": module.LINGER, "silent": max(module.LINGER, module.SILENT_GRACE)}
+            minimum_age = {
+                "look": module.ACCEPT_GRACE,
+                "silent": max(module.ACCEPT_GRACE, module.SILENT_GRACE),
+            }
             over = over or closed and age >= minimum_age.get(event, math.inf)
             over = over or event == "exit" and ending is not None
-            closed = ending is not None and (shared or age >= module.LINGER or no_time_left)
+            closed = ending is not None and (shared or age >= module.ACCEPT_GRACE or no_time_left)
             late = no_time_left and age >= 0
             assert orders.close_kept == (age >= module.KEEP_ALIVE_GRACE or late)
             assert orders.close_silent == (age >= module.SILENT_GRACE or late)
             assert orders.refuse_unfinished == late and orders.stop_accepting == closed
-        assert drain.taking == (draining is None and ending is None)
+        assert drain.serving == (draining is None and ending is None)
         assert (drain.state is State.OVER) == over and drain.ending == (ending is not None)
 
 
 def test_clients_move_to_a_newer_process_while_ready_stays_200() -> None:
     drain = Drain(shared=True)
     drain.yielding = True
-    assert drain.taking and not drain.keeps_connections
+    assert drain.serving and not drain.keeps_connections
 
 
 def test_standby_is_not_ready_serves_requests_and_closes_all_connections_until_active_again() -> None:
@@ -82,7 +85,7 @@
             kept, silent_client, busy = await balancer.open(), await balancer.open(), await balancer.open()
             assert "200" in (await kept.ask(READY)).start
             busy.writer.write(request(rid="busy"))
-            await until(lambda: len(stub.seen) == 1)
+            await wait_until(lambda: len(stub.seen) == 1)
             assert await call("standby") == await call("standby") == "200"
             late = await balancer.open()
             got = await late.ask(READY)
@@ -91,9 +94,9 @@
             stub.writers[0].write(answer(b"at last"))
             got = await read_message(busy.reader)
             assert got.body == b"at last" and got.headers["connection"] == "close"
-            await until(lambda: not balancer.front.clients)
+            await wait_until(lambda: not balancer.front.clients)
             assert await call("active") == "200"
-            stub.handler = says(answer(b"again"))
+            stub.handler = answers_with(answer(b"again"))
             again = await balancer.open()
             assert "200" in (await again.ask(READY)).start
             assert (await again.ask(request("check", rid="r2"))).body == b"again"
@@ -103,7 +106,7 @@
 
 def test_active_cancels_a_drain_before_any_connection_is_closed() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer(b"done"))).start()
+        stub = await Stub(answers_with(answer(b"done"))).start()
         async with node(stub) as balancer:
             kept = await balancer.open()
             assert "200" in (await kept.ask(READY)).start
