--- a/tests/node/test_gone.py
+++ b/tests/node/test_gone.py
@@ -11,10 +11,10 @@
 
 from dykeshift.clock import SYSTEM
 from dykeshift.engine.driver import Job
-from dykeshift.engine.ledger import Tier
-from dykeshift.engine.upstream import Attempt, End
+from dykeshift.engine.ledger import ClassCounts
+from dykeshift.engine.upstream import Attempt, AttemptResult
 from tests.node.messages import Message, answer, request
-from tests.node.stubs import Node, Stub, node, run, says, settings, until
+from tests.node.stubs import Node, Stub, answers_with, node, run, settings, wait_until
 
 
 def closes(client: socket.socket) -> None:
@@ -26,15 +26,15 @@
     client.close()
 
 
-def tier(balancer: Node, klass: str) -> Tier:
-    return balancer.front.driver.ledger.tiers[klass]
+def tier(balancer: Node, klass: str) -> ClassCounts:
+    return balancer.front.driver.ledger.class_counts[klass]
 
 
 async def connected(balancer: Node) -> socket.socket:
     """A client socket with blocking calls, so that nothing of the balancer runs between two of them."""
     before = set(balancer.front.clients)
     client = socket.create_connection(balancer.address)
-    await until(lambda: bool(set(balancer.front.clients) - before))
+    await wait_until(lambda: bool(set(balancer.front.clients) - before))
     return client
 
 
@@ -42,13 +42,13 @@
     """The request and the close were both in the kernel: it was forwarded before the close was read."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             assert (await balancer.ask(request(rid="r1"))).body == b"done"
             client = await connected(balancer)
             client.sendall(request(rid="r2"))
             client.close()
-            await until(lambda: tier(balancer, "send").gone == 1)
+            await wait_until(lambda: tier(balancer, "send").gone == 1)
             assert (await balancer.ask(request(rid="r3"))).body == b"done"
             assert [m.headers["x-request-id"] for m in stub.seen] == ["r1", "r3"]
 
@@ -81,17 +81,17 @@
     async def main() -> None:
         given = settings()
         given["bounds"]["cancelling"] = cancelling
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub, settings=given) as balancer:
             delayed = DelayedConnects(balancer)
             client = await connected(balancer)
             client.sendall(request(rid="r1"))
-            await until(lambda: delayed.waiting == 1)
+            await wait_until(lambda: delayed.waiting == 1)
             leave(client)
-            await until(lambda: tier(balancer, "send").gone == 1)
+            await wait_until(lambda: tier(balancer, "send").gone == 1)
             delayed.release.set()
             assert (await balancer.ask(request(rid="r2"))).body == b"done"
-            await until(lambda: not balancer.front.driver.jobs)
+            await wait_until(lambda: not balancer.front.driver.jobs)
             assert [m.headers["x-request-id"] for m in stub.seen] == ["r2"]
 
     run(main())
@@ -112,16 +112,16 @@
                     await balancer.ask(request("check", rid=f"warm{n}"))
             before = balancer.front.driver.ledger.attempts
             client = await connected(balancer)
-            driver, original = balancer.front.driver, balancer.front.driver._ended
+            driver, original = balancer.front.driver, balancer.front.driver._attempt_ended
 
-            def ended(job: Job, number: int, server: int, end: End) -> None:
+            def ended(job: Job, number: int, server: int, end: AttemptResult) -> None:
                 client.close()  # now, so that it is unread when the balancer's rules decide
                 original(job, number, server, end)
 
-            driver._ended = ended  # type: ignore[method-assign]
+            driver._attempt_ended = ended  # type: ignore[method-assign]
             client.sendall(request(rid="r1"))
-            await until(lambda: tier(balancer, "send").inflight == 0 < tier(balancer, "send").taken)
-            await until(lambda: not driver.jobs)
+            await wait_until(lambda: tier(balancer, "send").inflight == 0 < tier(balancer, "send").taken)
+            await wait_until(lambda: not driver.jobs)
             assert driver.ledger.attempts == before + 1 and tier(balancer, "send").gone == 1
 
     run(main())
--- a/tests/node/test_growth.py
+++ b/tests/node/test_growth.py
@@ -7,14 +7,14 @@
 import pytest
 
 from dykeshift.engine import driver as engine
-from dykeshift.engine.discovery import number_of
+from dykeshift.engine.discovery import instance_number
 from tests.node.messages import answer, instance, listing, request
-from tests.node.stubs import Node, Registry, Stub, node, run, says, settings, until
+from tests.node.stubs import DiscoveryStub, Node, Stub, answers_with, node, run, settings, wait_until
 
 REQUESTS_PER_ROUND = 1000
 
 
-async def send_requests(balancer: Node, registry: Registry, stub: Stub, first: int) -> None:
+async def send_requests(balancer: Node, registry: DiscoveryStub, stub: Stub, first: int) -> None:
     """Send new ids on new connections, some with errors, while the upstream is replaced at its address."""
     for n in range(first, first + REQUESTS_PER_ROUND):
         if n % 25 == 0:
@@ -33,7 +33,7 @@
     """Wait until nothing is open, and count the objects that the garbage collector tracks."""
     front = balancer.front
     module = front.driver.balancer
-    await until(
+    await wait_until(
         lambda: not front.clients
         and not front.driver.jobs
         and not module.open
@@ -47,7 +47,7 @@
 
 def test_thousands_of_requests_leak_no_objects() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         changed = settings()
         changed["obligations"]["fallNs"] = 200_000_000  # the module drops old servers at each sweep
         async with node(stub, settings=changed) as balancer:
@@ -65,22 +65,22 @@
 
 def test_a_bounded_number_of_delisted_ids_is_remembered(monkeypatch: pytest.MonkeyPatch) -> None:
     """A ban is accepted for an id that was listed; ids that are listed or banned now are always known."""
-    monkeypatch.setattr(engine, "EVER", 20)
+    monkeypatch.setattr(engine, "MAX_REMEMBERED_IDS", 20)
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             driver = balancer.front.driver
             balancer.registry.put(listing(2, False, instance("banned", stub.address)))
-            await until(lambda: driver.was_listed(number_of("banned")))
-            assert driver.ban(number_of("banned"))
+            await wait_until(lambda: driver.was_listed(instance_number("banned")))
+            assert driver.ban(instance_number("banned"))
             for n in range(100):
                 left = [instance(f"x{n - 1}", stub.address, "left")] if n else []
                 balancer.registry.put(listing(n + 3, False, *left, instance(f"x{n}", stub.address)))
-            await until(lambda: driver.was_listed(number_of("x99")))
-            assert len(driver.listed_ever) == 20
-            assert driver.was_listed(number_of("x90")) and not driver.was_listed(number_of("x5"))
-            assert driver.end_ban(number_of("banned"))
-            assert not driver.was_listed(number_of("never"))
+            await wait_until(lambda: driver.was_listed(instance_number("x99")))
+            assert len(driver.recently_listed) == 20
+            assert driver.was_listed(instance_number("x90")) and not driver.was_listed(instance_number("x5"))
+            assert driver.end_ban(instance_number("banned"))
+            assert not driver.was_listed(instance_number("never"))
 
     run(main())
--- a/tests/node/test_one_process.py
+++ b/tests/node/test_one_process.py
@@ -75,7 +75,7 @@
     hold()
     os.kill(os.getpid(), signal.SIGTERM)
 node.finish_startup = serving
-drain.LINGER = 0.0
+drain.ACCEPT_GRACE = 0.0
 code = node.main()
 maps = open("/proc/self/maps").read().split()
 print(json.dumps({"code": code, "seen": seen, "modules": sorted(sys.modules), "held": held,
@@ -154,8 +154,8 @@
     daemon = with_few_descriptors(tmp_path, given)
     try:
         assert first_bytes(address)
-        crowd = [socket.create_connection(address, timeout=30) for _ in range(2 * FEW)]
-        for one in crowd[FEW:]:
+        crowd = [socket.create_connection(address, timeout=30) for _ in range(2 * DESCRIPTOR_LIMIT)]
+        for one in crowd[DESCRIPTOR_LIMIT:]:
             with suppress(ConnectionError):
                 assert one.recv(1) == b"", "a client beyond the limit is disconnected, not left waiting"
         for one in crowd:
@@ -166,13 +166,16 @@
         assert daemon.wait(60) == 0
 
 
-FEW = 40  # file descriptors
+DESCRIPTOR_LIMIT = 40  # file descriptors
 
 
 def with_few_descriptors(tmp_path: Path, given: dict[str, object]) -> subprocess.Popen[bytes]:
-    """A daemon with this configuration and a limit of FEW file descriptors."""
+    """A daemon with this configuration and a limit of DESCRIPTOR_LIMIT file descriptors."""
     (tmp_path / "config.json").write_text(json.dumps(given))
-    limited = f"import resource; resource.setrlimit(resource.RLIMIT_NOFILE, ({FEW}, {FEW}))"
+    limited = (
+        "import resource; "
+        f"resource.setrlimit(resource.RLIMIT_NOFILE, ({DESCRIPTOR_LIMIT}, {DESCRIPTOR_LIMIT}))"
+    )
     program = f"{limited}\nimport sys\nfrom dykeshift.node.__main__ import main\nsys.exit(main())"
     return subprocess.Popen(
         [sys.executable, "-c", program],
--- a/tests/node/test_places.py
+++ b/tests/node/test_places.py
@@ -15,10 +15,10 @@
 from dykeshift.engine import config
 from dykeshift.engine.driver import Driver
 from dykeshift.interface import Idempotency, Settings
-from dykeshift.settings import narrower, parse_settings
+from dykeshift.settings import parse_settings, restrict_repeats
 from tests.mllp.test_front import message, place
 from tests.node.messages import Message, answer, request
-from tests.node.stubs import Node, Stub, configuration, node, run, service, until
+from tests.node.stubs import Node, Stub, configuration, node, run, service, wait_until
 from tests.node.test_settings import named
 from tests.seeded import Defect, defect_tests, patched
 
@@ -49,7 +49,7 @@
     raw = {**configuration(balancer.registry.address), "settings": given}
     balancer.given, before = config.parse(raw), ledger.reloads
     os.kill(os.getpid(), signal.SIGHUP)
-    await until(lambda: ledger.reloads > before)
+    await wait_until(lambda: ledger.reloads > before)
 
 
 def served_over_many_changes() -> None:
@@ -72,7 +72,7 @@
                 if serial % 10 == 0:
                     client, rid = await balancer.open(), f"long{serial}"
                     client.writer.write(request("send", rid))
-                    await until(lambda rid=rid: rid in module.open)  # type: ignore[misc]
+                    await wait_until(lambda rid=rid: rid in module.open)  # type: ignore[misc]
                     long.append((client, rid, module.open[rid].klass))
                 for _, rid, klass in long:
                     item = module.open[rid]
@@ -81,9 +81,9 @@
                     client, rid, klass = long.pop(0)
                     asked["send left"] += 1
                     client.writer.close()
-                    await until(lambda rid=rid: rid not in driver.jobs)  # type: ignore[misc]
+                    await wait_until(lambda rid=rid: rid not in driver.jobs)  # type: ignore[misc]
                 assert len(module.records) == len(driver.tiers) <= 2 * 3 + len(long) + 1
-            tiers = driver.ledger.tiers
+            tiers = driver.ledger.class_counts
             found = {name: tier.success for name, tier in tiers.items() if tier.success}
             left = asked.pop("send left")
             assert found == dict(asked)
@@ -99,10 +99,10 @@
     def __init__(self, balancer: Node, settings: Settings) -> None:
         self.balancer, self.settings, self.changed = balancer, settings, False
 
-    def look(self) -> int:
+    def rules_stamp(self) -> int:
         if not self.changed:
             self.changed = True
-            self.balancer.reload.take(self.settings, narrow=True)
+            self.balancer.reload.apply(self.settings, narrow=True)
         return 1
 
 
@@ -122,11 +122,11 @@
             balancer.front.driver.pool.gate = ChangingGate(balancer, new)
             client = await balancer.open()
             client.writer.write(request("send", "long"))
-            await until(lambda: "long" in module.open)
+            await wait_until(lambda: "long" in module.open)
             item = module.open["long"]
             assert module.settings.classes[item.request.klass] == old[2]
             assert item.klass.idempotency is Idempotency.UNSAFE and item.klass.name == "send"
-            assert balancer.front.driver.ledger.tiers["send"].inflight == 1
+            assert balancer.front.driver.ledger.class_counts["send"].inflight == 1
             client.writer.close()
 
     run(main())
@@ -146,7 +146,7 @@
                 await change(deployment.node, settings_of_change(serial))
                 assert {n: module.settings.classes[n] for n in (1, 2)} == old
                 assert await clinic.say(message(f"m{serial}")) == "AA"
-            assert driver.ledger.tiers["send"].success == 5
+            assert driver.ledger.class_counts["send"].success == 5
             assert len(module.records) <= 2 * 3 + 2
 
     run(main())
@@ -169,10 +169,10 @@
 
 def _counters_by_position(self: Driver, new: Settings, narrow: bool = False) -> Settings:
     """Counters belong to a position, whichever class takes it."""
-    held = self.kept_places.union(job.incoming.klass for job in self.jobs.values())
-    self._deliver_event(self.balancer.on_settings, new, narrower if narrow else None, held)
+    held = self.reserved_positions.union(job.request.klass for job in self.jobs.values())
+    self._deliver_event(self.balancer.on_settings, new, restrict_repeats if narrow else None, held)
     placed = self.balancer.settings
-    self.tiers += [self.ledger.tier(c.name) for c in placed.classes[len(self.tiers) :]]
+    self.tiers += [self.ledger.counts_of(c.name) for c in placed.classes[len(self.tiers) :]]
     return placed
 
 
@@ -181,11 +181,11 @@
 ) -> Settings:
     """Positions used outside the module may be reused."""
     jobs, self.jobs = self.jobs, {}
-    kept, self.kept_places = self.kept_places, set()
+    kept, self.reserved_positions = self.reserved_positions, set()
     try:
         return original(self, new, narrow)  # type: ignore[no-any-return]
     finally:
-        self.jobs, self.kept_places = jobs, kept
+        self.jobs, self.reserved_positions = jobs, kept
 
 
 DEFECTS: dict[str, Defect] = {
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -18,7 +18,16 @@
 
 from dykeshift.engine import config
 from tests.node.messages import answer, instance, listing, read_message, request
-from tests.node.stubs import Caller, Registry, Stub, configuration, run, says, silent, until
+from tests.node.stubs import (
+    ClientConnection,
+    DiscoveryStub,
+    Stub,
+    answers_with,
+    configuration,
+    run,
+    silent,
+    wait_until,
+)
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 COMMAND = [sys.executable, "-m", "dykeshift.node"]
@@ -112,7 +121,7 @@
 async def program(
     stub: Stub, folder: Path, stderr: int | None = None
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    registry = await Registry().start()
+    registry = await DiscoveryStub().start()
     port, path = free_port(), folder / "config.json"
     known = listing(1, True, instance("s0", stub.address))
     path.write_text(json.dumps({**configuration(registry.address, known), "listen": f"127.0.0.1:{port}"}))
@@ -133,8 +142,8 @@
             await process.wait()
 
 
-async def call(port: int) -> Caller:
-    return Caller(*await asyncio.open_connection("127.0.0.1", port))
+async def call(port: int) -> ClientConnection:
+    return ClientConnection(*await asyncio.open_connection("127.0.0.1", port))
 
 
 def test_sigterm_answers_every_accepted_request_and_exits_0(tmp_path: Path) -> None:
@@ -144,12 +153,12 @@
             kept, busy, probe = await call(port), await call(port), await call(port)
             assert "200" in (await probe.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start
             busy.writer.write(request(rid="busy"))
-            await until(lambda: len(stub.seen) == 1)
+            await wait_until(lambda: len(stub.seen) == 1)
             process.send_signal(signal.SIGTERM)
             assert await probe.reader.read() == b""  # keep-alive and idle: closed
             late = await call(port)  # still accepted and answered
             assert "503" in (await late.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start
-            stub.handler = says(answer(b"late"))
+            stub.handler = answers_with(answer(b"late"))
             late = await call(port)
             got = await late.ask(request("check", rid="late"))
             assert got.body == b"late" and got.headers["connection"] == "close"
@@ -191,7 +200,7 @@
 # ---- reload ----
 
 
-def move(folder: Path, registry: Registry, process: asyncio.subprocess.Process) -> None:
+def move(folder: Path, registry: DiscoveryStub, process: asyncio.subprocess.Process) -> None:
     path = folder / "config.json"
     given = json.loads(path.read_text())
     path.write_text(json.dumps({**given, "discovery": "%s:%d" % registry.address}))
@@ -200,24 +209,24 @@
 
 def test_sighup_moves_to_the_new_discovery_and_keeps_everything_else(tmp_path: Path) -> None:
     async def main() -> None:
-        stub, added = await Stub(silent).start(), await Stub(says(answer(b"added"))).start()
-        second, third = await Registry().start(), await Registry().start()
+        stub, added = await Stub(silent).start(), await Stub(answers_with(answer(b"added"))).start()
+        second, third = await DiscoveryStub().start(), await DiscoveryStub().start()
         async with program(stub, tmp_path) as (process, port):
             busy, kept = await call(port), await call(port)
             busy.writer.write(request(rid="busy"))
-            await until(lambda: len(stub.seen) == 1)
+            await wait_until(lambda: len(stub.seen) == 1)
             move(tmp_path, second, process)
             # the full list: generations of two discoveries may not compare
-            await until(lambda: second.paths == ["/v1/endpoints"])
+            await wait_until(lambda: second.paths == ["/v1/endpoints"])
             move(tmp_path, third, process)  # while the first request of that kind is open
-            await until(lambda: third.paths == ["/v1/endpoints"])
+            await wait_until(lambda: third.paths == ["/v1/endpoints"])
             # Lower than the generation known before, and used nevertheless.
             third.put(listing(0, True, instance("s0", stub.address), instance("s1", added.address)))
-            await until(lambda: len(third.paths) == 2)
+            await wait_until(lambda: len(third.paths) == 2)
             assert third.paths[1].startswith("/v1/endpoints?from=0&")
             stub.writers[0].write(answer(b"went on"))
             assert (await read_message(busy.reader)).body == b"went on"
-            stub.handler = says(answer(b"warm"))
+            stub.handler = answers_with(answer(b"warm"))
             got = [(await kept.ask(request("check", rid=f"r{n}"))).body for n in range(20)]
             assert {b"warm", b"added"} == set(got) and len(stub.writers) == 1
             assert len(second.paths) == 1
@@ -231,8 +240,8 @@
 
 def test_sighup_with_a_bad_file_is_one_line_and_changes_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        second = await Registry().start()
+        stub = await Stub(answers_with(answer())).start()
+        second = await DiscoveryStub().start()
         async with program(stub, tmp_path, stderr=asyncio.subprocess.PIPE) as (process, port):
             path, caller = tmp_path / "config.json", await call(port)
             sound = path.read_text()
@@ -245,6 +254,6 @@
                 assert "200" in (await caller.ask(request("check", rid=str(len(line))))).start
             path.write_text(sound)
             move(tmp_path, second, process)
-            await until(lambda: second.paths == ["/v1/endpoints"])
+            await wait_until(lambda: second.paths == ["/v1/endpoints"])
 
     run(main())
--- a/tests/node/test_server.py
+++ b/tests/node/test_server.py
@@ -13,10 +13,10 @@
 from dykeshift.clock import SYSTEM
 from dykeshift.interface import Action, AttemptEnd, Outcome, Refuse, Request
 from dykeshift.engine import driver, requests, server
-from dykeshift.engine.discovery import number_of
+from dykeshift.engine.discovery import instance_number
 from dykeshift.engine.driver import Driver
 from tests.node.messages import Message, answer, instance, listing, read_message, request
-from tests.node.stubs import Handler, Stub, node, resets, run, says, silent, until
+from tests.node.stubs import Handler, Stub, node, resets, run, answers_with, silent, wait_until
 
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -58,7 +58,7 @@
 def test_requests_and_answers_are_passed_on_unchanged(klass: str) -> None:
     async def main() -> None:
         body = bytes(range(256)) * 8
-        stub = await Stub(says(answer(body, Content_Type="application/x-sms"))).start()
+        stub = await Stub(answers_with(answer(body, Content_Type="application/x-sms"))).start()
         async with node(stub) as balancer:
             got = await balancer.ask(request(klass, body=body))
             assert (status(got), got.body) == (200, body)
@@ -76,7 +76,7 @@
 
 def test_a_keep_alive_connection_carries_several_requests() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             caller = await balancer.open()
             for n in range(5):
@@ -88,7 +88,7 @@
 
 def test_a_request_in_single_bytes_and_one_in_chunks() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             caller = await balancer.open()
             for byte in request():
@@ -105,7 +105,7 @@
 
 def test_expect_continue_is_answered_before_the_body_arrives() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             caller = await balancer.open()
             head, _, body = request(Expect="100-continue").partition(b"\r\n\r\n")
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("behind", [request(rid="r2"), request("check", rid="r2") * 300, b"GARBAGE\r\n"])
 def test_pipelined_requests_are_rejected_and_none_is_forwarded(behind: bytes) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             caller = await balancer.open()
             got = await caller.ask(request(rid="r1") + behind)
@@ -136,11 +136,11 @@
         async with node(stub) as balancer:
             caller = await balancer.open()
             caller.writer.write(request(rid="r1"))
-            await until(lambda: len(stub.seen) == 1)
+            await wait_until(lambda: len(stub.seen) == 1)
             got = await caller.ask(behind)
             assert status(got) == 400 and got.headers["connection"] == "close"
             assert await caller.reader.read() == b""
-            await until(lambda: stub.lost == 1 and not balancer.front.driver.jobs)
+            await wait_until(lambda: stub.lost == 1 and not balancer.front.driver.jobs)
             assert len(stub.seen) == 1
 
     run(main())
@@ -151,10 +151,10 @@
 
 FAILURES: list[Handler] = [
     resets,
-    says(answer(b"", "500 Internal Server Error")),
-    says(answer(b"", "503 Service Unavailable")),
-    says(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf", close=True),
-    says(b"garbage\r\n\r\n"),
+    answers_with(answer(b"", "500 Internal Server Error")),
+    answers_with(answer(b"", "503 Service Unavailable")),
+    answers_with(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf", close=True),
+    answers_with(b"garbage\r\n\r\n"),
 ]
 
 
@@ -172,8 +172,8 @@
 
 def test_a_request_not_run_by_one_upstream_is_sent_to_another() -> None:
     async def main() -> None:
-        full = await Stub(says(answer(b"", "503 Service Unavailable", X_Not_Run="1"))).start()
-        stub = await Stub(says(answer())).start()
+        full = await Stub(answers_with(answer(b"", "503 Service Unavailable", X_Not_Run="1"))).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(full, stub) as balancer:
             for n in range(8):
                 assert status(await balancer.ask(request(rid=f"r{n}"))) == 200
@@ -193,7 +193,7 @@
 
 def test_retry_after_is_in_decimal_seconds() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
 
             def refuse(now: int, request: Request) -> list[Action]:
@@ -213,7 +213,7 @@
             began = time.monotonic()
             got = await balancer.ask(request("send", deadline=300))
             assert status(got) not in (200, 429, 503) and time.monotonic() - began >= 0.2
-            await until(lambda: stub.lost == 1 and not balancer.front.driver.jobs)
+            await wait_until(lambda: stub.lost == 1 and not balancer.front.driver.jobs)
             assert balancer.front.driver.balancer.open == {}
             assert all(s.in_flight == 0 for s in balancer.front.driver.balancer.servers.values())
 
@@ -236,9 +236,9 @@
         async with node(stub) as balancer:
             caller = await balancer.open()
             caller.writer.write(request())
-            await until(lambda: len(stub.seen) == 1)
+            await wait_until(lambda: len(stub.seen) == 1)
             caller.writer.close()
-            await until(lambda: stub.lost == 1 and not balancer.front.driver.jobs)
+            await wait_until(lambda: stub.lost == 1 and not balancer.front.driver.jobs)
             assert all(s.in_flight == 0 for s in balancer.front.driver.balancer.servers.values())
             assert balancer.front.driver.balancer.open == {}
 
@@ -267,13 +267,13 @@
             balancer.front.driver.balancer.on_attempt_end = on_attempt_end  # type: ignore[method-assign]
             for n in range(30):
                 assert status(await balancer.ask(request("check", rid=f"c{n}"))) == 200
-            await until(lambda: not balancer.front.driver.jobs)
+            await wait_until(lambda: not balancer.front.driver.jobs)
             cancelled = [e for e in ends if e.outcome is Outcome.CANCELLED]
             assert cancelled and all(e.final for e in cancelled)
             # The connections of those to the upstream that never answered have been closed.
-            unanswered = [e for e in cancelled if e.server == number_of("s0")]
+            unanswered = [e for e in cancelled if e.server == instance_number("s0")]
             assert unanswered
-            await until(lambda: stubs[0].lost >= len(unanswered))
+            await wait_until(lambda: stubs[0].lost >= len(unanswered))
             assert all(s.in_flight == 0 for s in balancer.front.driver.balancer.servers.values())
 
     run(main())
@@ -284,7 +284,7 @@
     method: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer(b"", "500 Internal Server Error"))).start()
+        stub = await Stub(answers_with(answer(b"", "500 Internal Server Error"))).start()
         async with node(stub) as balancer:
             rules = balancer.front.driver.balancer
             original = getattr(rules, method)
@@ -298,10 +298,10 @@
             assert status(got) == 500
             assert any(r.exc_info and "injected" in str(r.exc_info[1]) for r in caplog.records)
             setattr(rules, method, original)
-            stub.handler = says(answer())
+            stub.handler = answers_with(answer())
             got = await balancer.ask(request("set", rid="r2"))
             assert status(got) == 200
-            await until(lambda: not balancer.front.driver.jobs)
+            await wait_until(lambda: not balancer.front.driver.jobs)
 
     run(main())
 
@@ -310,19 +310,19 @@
     """The exception is raised after a send was counted: the count is undone and nothing is sent."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             rules = balancer.front.driver.balancer
             assert status(await balancer.ask(request("send", rid="r0"))) == 200  # leaves an idle connection
-            original = rules._watch_over
+            original = rules._schedule_hedge
 
             def faulty(*_: object) -> None:
                 raise RuntimeError("injected")
 
-            rules._watch_over = faulty  # type: ignore[method-assign, assignment]
+            rules._schedule_hedge = faulty  # type: ignore[method-assign, assignment]
             assert status(await balancer.ask(request("send"))) == 500
-            rules._watch_over = original  # type: ignore[method-assign]
-            await until(lambda: not balancer.front.driver.jobs)
+            rules._schedule_hedge = original  # type: ignore[method-assign]
+            await wait_until(lambda: not balancer.front.driver.jobs)
             assert len(stub.seen) == 1 and all(s.in_flight == 0 for s in rules.servers.values())
 
     run(main())
@@ -425,7 +425,7 @@
 )
 def test_bad_input_is_rejected_and_not_forwarded(bad: bytes) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             got = await balancer.ask(bad)
             assert 400 <= status(got) < 502 and status(got) != 429
@@ -441,7 +441,7 @@
         async with node(stub) as balancer:
             first = await balancer.open()
             first.writer.write(request())
-            await until(lambda: len(stub.seen) == 1)
+            await wait_until(lambda: len(stub.seen) == 1)
             assert status(await balancer.ask(request())) == 409
             stub.writers[0].write(answer())
             assert status(await first.ask(b"")) == 200
@@ -459,12 +459,12 @@
         async with node(stub, limits=limits) as balancer:
             busy = await balancer.open()
             busy.writer.write(request())
-            await until(lambda: len(stub.seen) == 1)
+            await wait_until(lambda: len(stub.seen) == 1)
             crowd = [await balancer.open() for _ in range(40)]
-            await until(lambda: len(balancer.front.clients) <= 8)
+            await wait_until(lambda: len(balancer.front.clients) <= 8)
             stub.writers[0].write(answer())
             assert status(await busy.ask(b"")) == 200
-            stub.handler = says(answer())
+            stub.handler = answers_with(answer())
             assert status(await balancer.ask(request(rid="r2"))) == 200
             assert len(crowd) == 40
 
@@ -486,7 +486,7 @@
             await caller.writer.drain()
             assert await caller.reader.read() == b""
             caller.writer.close()
-            await until(lambda: not balancer.front.clients)
+            await wait_until(lambda: not balancer.front.clients)
 
     run(main())
 
@@ -513,7 +513,7 @@
             got = await caller.reader.read()
             assert (got[:12] == b"HTTP/1.1 408") is bool(sent)
             caller.writer.close()
-            await until(lambda: not balancer.front.clients)
+            await wait_until(lambda: not balancer.front.clients)
 
     run(main())
 
@@ -536,10 +536,10 @@
 
 def test_a_connection_that_was_answered_stays_open_longer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "HEAD_TIMEOUT", 0.1)
-    monkeypatch.setattr(server, "ONCE", 30.0)
+    monkeypatch.setattr(server, "SHORT_IDLE_TIMEOUT", 30.0)
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             caller, silent_client = await balancer.open(), await balancer.open()
             assert status(await caller.ask(request(rid="r1"))) == 200
@@ -568,25 +568,27 @@
 def test_clients_that_stay_after_one_request_leave_connections_for_returning_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "ONCE", 30.0)  # until all have sent a request, however slow the machine
+    monkeypatch.setattr(
+        server, "SHORT_IDLE_TIMEOUT", 30.0
+    )  # until all have sent a request, however slow the machine
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}  # twenty of them for clients
         async with node(stub, limits=limits) as balancer:
             crowd = [await balancer.open() for _ in range(15)]
             got = [await c.ask(request(rid=f"a{n}")) for n, c in enumerate(crowd)]
             ended = [m.headers.get("connection") == "close" for m in got]
             assert ended == [n > 10 for n in range(15)]  # from half of the limit on
-            monkeypatch.setattr(server, "ONCE", 0.05)
+            monkeypatch.setattr(server, "SHORT_IDLE_TIMEOUT", 0.05)
             for caller in crowd:  # idle ones are closed, too
                 assert await caller.reader.read() == b""
-            assert balancer.front.served == 0
+            assert balancer.front.answered_clients == 0
             caller = await balancer.open()
             assert "connection" not in (await caller.ask(request(rid="b"))).headers
             caller.writer.close()
-            await until(lambda: not balancer.front.clients)
-            assert balancer.front.served == 0
+            await wait_until(lambda: not balancer.front.clients)
+            assert balancer.front.answered_clients == 0
 
     run(main())
 
@@ -595,10 +597,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(server, "HEAD_TIMEOUT", 30.0)
-    monkeypatch.setattr(server, "ONCE", 30.0)
+    monkeypatch.setattr(server, "SHORT_IDLE_TIMEOUT", 30.0)
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 40}  # eight of them for clients
         async with node(stub, limits=limits) as balancer:
             usual = [await balancer.open() for _ in range(4)]
@@ -606,7 +608,7 @@
                 assert status(await caller.ask(request(rid=f"a{n}"))) == 200
             crowd = [await balancer.open() for _ in range(100)]
             ends = [asyncio.ensure_future(caller.reader.read()) for caller in crowd]
-            await until(lambda: sum(end.done() for end in ends) >= 96)
+            await wait_until(lambda: sum(end.done() for end in ends) >= 96)
             for n, caller in enumerate(usual):
                 assert status(await caller.ask(request(rid=f"b{n}"))) == 200
             assert all(end.result() == b"" for end in ends if end.done())
@@ -617,7 +619,7 @@
 
 
 def test_a_timer_whose_handler_raises_is_repeated(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(driver, "TIMER_RETRY", 0.01)
+    monkeypatch.setattr(driver, "TIMER_RETRY_S", 0.01)
 
     async def main() -> None:
         async with node() as balancer:
@@ -628,7 +630,7 @@
                 raise RuntimeError("injected")
 
             balancer.front.driver.balancer.on_timer = faulty  # type: ignore[method-assign]
-            await until(lambda: tokens.count("sweep") >= 3)
+            await wait_until(lambda: tokens.count("sweep") >= 3)
 
     run(main())
 
@@ -638,7 +640,7 @@
 
 def test_ready_with_a_known_list_though_discovery_does_not_answer() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node(stub) as balancer:
             assert status(await balancer.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")) == 200
 
@@ -647,12 +649,12 @@
 
 def test_not_ready_until_there_is_an_upstream_to_send_to() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         async with node() as balancer:
             probe = b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n"
             assert status(await balancer.ask(probe)) == 503
             balancer.registry.put(listing(2, True, instance("s0", stub.address)))
-            await until(lambda: bool(balancer.front.driver.ready))
+            await wait_until(lambda: bool(balancer.front.driver.ready))
             assert status(await balancer.ask(probe)) == 200
             assert status(await balancer.ask(request())) == 200
 
@@ -667,18 +669,18 @@
         transport = asyncio.BaseTransport()
         clock.now, clock.age = 10 * SECOND, 0
         front.arrivals.last_read = 10.0
-        assert front.arrivals.of(transport) == 10 * SECOND
+        assert front.arrivals.arrival_time(transport) == 10 * SECOND
         clock.now, clock.age = 10 * SECOND + 15 * MS, 12 * MS  # a normal iteration: `input_age` is not called
-        assert front.arrivals.of(transport) == clock.now
+        assert front.arrivals.arrival_time(transport) == clock.now
         clock.now, clock.age = 11 * SECOND, 700 * MS
-        assert front.arrivals.of(transport) == 10 * SECOND + 300 * MS
+        assert front.arrivals.arrival_time(transport) == 10 * SECOND + 300 * MS
         clock.now, clock.age = 11 * SECOND + 30 * MS, 730 * MS  # arrived during the stall, read later
-        assert front.arrivals.of(transport) == 10 * SECOND + 300 * MS
+        assert front.arrivals.arrival_time(transport) == 10 * SECOND + 300 * MS
         for _ in range(4):
             clock.now += 15 * MS
-            front.arrivals.of(transport)
+            front.arrivals.arrival_time(transport)
         clock.now, clock.age = clock.now + 15 * MS, 14 * MS
-        assert front.arrivals.of(transport) == clock.now
+        assert front.arrivals.arrival_time(transport) == clock.now
     finally:
         front.sweeper.cancel()
         loop.close()
@@ -696,10 +698,10 @@
         listening = await loop.create_server(Keeps, "127.0.0.1", 0)
         _, writer = await asyncio.open_connection(*listening.sockets[0].getsockname())
         writer.write(b"x")
-        await until(lambda: bool(got))
-        await until(lambda: SYSTEM.input_age(got[0]) >= 30 * MS)
+        await wait_until(lambda: bool(got))
+        await wait_until(lambda: SYSTEM.input_age(got[0]) >= 30 * MS)
         writer.write(b"y")
-        await until(lambda: SYSTEM.input_age(got[0]) < 30 * MS)
+        await wait_until(lambda: SYSTEM.input_age(got[0]) < 30 * MS)
         writer.close()
         listening.close()
 
--- a/tests/node/test_settings.py
+++ b/tests/node/test_settings.py
@@ -15,7 +15,18 @@
 from dykeshift.settings import SettingsError, parse_settings
 from tests.harness import MS, World, entry
 from tests.node.messages import answer, read_message, request
-from tests.node.stubs import Node, Stub, configuration, node, run, says, service, settings, silent, until
+from tests.node.stubs import (
+    Node,
+    Stub,
+    answers_with,
+    configuration,
+    node,
+    run,
+    service,
+    settings,
+    silent,
+    wait_until,
+)
 
 
 def named(*services: dict[str, Any], **bounds: Any) -> dict[str, Any]:
@@ -99,12 +110,12 @@
     old = world.settings
     rid = world.submit(0)  # safe, three attempts
     balancer = world.balancer
-    balancer.records[0].usual = 77 * MS
+    balancer.records[0].mean_latency = 77 * MS
     stricter = parse_settings(named(service("read", "side_effect", goalTimeNs=200 * MS), maxAttempts=1))
     world.play(balancer.on_settings(world.now, stricter, held=range(len(old.classes))))
     merged, position = balancer.settings, len(old.classes)
     assert merged.classes == (*old.classes, *stricter.classes)
-    assert balancer.records[position].usual == 77 * MS
+    assert balancer.records[position].mean_latency == 77 * MS
     assert all(len(record.states) == 0 for record in balancer.records[1:]) and balancer.records[0].states
     world.end(rid, 0, Outcome.ERROR)  # still treated as safe, with three attempts
     while None in world.requests[rid].ends:
@@ -141,12 +152,12 @@
             ledger = balancer.front.driver.ledger
             open_client = await balancer.open()
             open_client.writer.write(request("check", rid="old"))
-            await until(lambda: len(stub.seen) == 1)
+            await wait_until(lambda: len(stub.seen) == 1)
             reload_with(balancer, named({**CHECK, "idempotency": "side_effect"}, service("fresh", "pure")))
             assert (ledger.reloads, ledger.reloads_failed) == (1, 0)
             [job] = balancer.front.driver.jobs.values()
             assert balancer.front.driver.balancer.open["old"].klass.idempotency is Idempotency.SAFE
-            stub.handler = says(answer(b"done"))
+            stub.handler = answers_with(answer(b"done"))
             assert "400" in (await balancer.ask(request("send", rid="gone"))).start  # class removed
             assert "400" in (await balancer.ask(request("check", rid="get"))).start  # GET no longer allowed
             got = await balancer.ask(request("check", rid="post", method="POST"))
@@ -157,7 +168,7 @@
             assert (await balancer.ask(request("fresh", rid="f2", method="GET"))).body == b"done"
             stub.writers[0].write(answer(b"late"))
             assert (await read_message(open_client.reader)).body == b"late" and job.closed
-            assert {name: tier.success for name, tier in ledger.tiers.items()} == {
+            assert {name: tier.success for name, tier in ledger.class_counts.items()} == {
                 "check": 2,
                 "set": 0,
                 "send": 0,
--- a/tests/node/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -34,7 +34,7 @@
     tenants.settle(False, [listed(3, 80, started=5)])
     assert states(tenants.settle(False, [listed(1, 80, started=3, state=DRAINING)])) == {1: GONE}
     assert states(tenants.settle(False, [listed(1, 80, state=GONE)])) == {1: GONE}
-    assert tenants.at[("10.0.0.1", 80)].id == 3
+    assert tenants.tenant_at[("10.0.0.1", 80)].id == 3
 
 
 def test_a_full_list_with_both_keeps_the_later_one_in_either_order() -> None:
@@ -68,7 +68,7 @@
             else:
                 addresses[one.entry.id] = one.address
         assert len(set(addresses.values())) == len(addresses)
-        assert {address: entry.id for address, entry in tenants.at.items()} == {
+        assert {address: entry.id for address, entry in tenants.tenant_at.items()} == {
             a: n for n, a in addresses.items()
         }
-        assert tenants.home == addresses
+        assert tenants.address_of == addresses
--- a/tests/node/test_upstream.py
+++ b/tests/node/test_upstream.py
@@ -13,9 +13,9 @@
 from dykeshift.interface import LoadReport, Outcome
 from dykeshift.engine.http_carrier import HttpCarrier
 from dykeshift.engine.link import Link
-from dykeshift.engine.upstream import Attempt, End, Pool, Staleness
+from dykeshift.engine.upstream import Attempt, AttemptResult, Pool, Staleness
 from tests.node.messages import answer
-from tests.node.stubs import Handler, Stub, resets, run, says, silent, until
+from tests.node.stubs import Handler, Stub, resets, run, answers_with, silent, wait_until
 
 SECOND = 1_000_000_000
 REQUEST = b"POST /api HTTP/1.1\r\nX-Request-Id: r1\r\nContent-Length: 5\r\n\r\nhello"
@@ -25,13 +25,13 @@
     """Starts one attempt and records its end."""
 
     def __init__(self, pool: Pool, number: int = 1, left: int = 20 * SECOND) -> None:
-        self.ends: list[End] = []
+        self.ends: list[AttemptResult] = []
         self.attempt: Attempt = pool.start(
             number, lambda _: REQUEST, time.monotonic_ns() + left, self.ends.append
         )
 
-    async def end(self) -> End:
-        await until(lambda: bool(self.ends))
+    async def end(self) -> AttemptResult:
+        await wait_until(lambda: bool(self.ends))
         assert len(self.ends) == 1
         return self.ends[0]
 
@@ -60,29 +60,29 @@
 @pytest.mark.parametrize(
     ("handler", "outcome"),
     [
-        (says(answer(b"body")), Outcome.OK),
-        (says(answer(b"", "500 Internal Server Error")), Outcome.ERROR),
-        (says(answer(b"", "500 Internal Server Error", X_Not_Run="1")), Outcome.ERROR),
-        (says(answer(b"", "404 Not Found")), Outcome.ERROR),
-        (says(answer(b"", "503 Service Unavailable", X_Not_Run="1")), Outcome.FULL),
-        (says(answer(b"", "504 Gateway Timeout", X_Not_Run="1")), Outcome.FULL),
-        (says(answer(b"", "503 Service Unavailable")), Outcome.ERROR),
-        (says(answer(b"", "504 Gateway Timeout")), Outcome.ERROR),
-        (says(answer(b"", "503 Service Unavailable", X_Not_Run="0")), Outcome.ERROR),
+        (answers_with(answer(b"body")), Outcome.OK),
+        (answers_with(answer(b"", "500 Internal Server Error")), Outcome.ERROR),
+        (answers_with(answer(b"", "500 Internal Server Error", X_Not_Run="1")), Outcome.ERROR),
+        (answers_with(answer(b"", "404 Not Found")), Outcome.ERROR),
+        (answers_with(answer(b"", "503 Service Unavailable", X_Not_Run="1")), Outcome.FULL),
+        (answers_with(answer(b"", "504 Gateway Timeout", X_Not_Run="1")), Outcome.FULL),
+        (answers_with(answer(b"", "503 Service Unavailable")), Outcome.ERROR),
+        (answers_with(answer(b"", "504 Gateway Timeout")), Outcome.ERROR),
+        (answers_with(answer(b"", "503 Service Unavailable", X_Not_Run="0")), Outcome.ERROR),
         (resets, Outcome.RESET),
-        (says(b"", close=True), Outcome.RESET),
-        (says(TRUNCATED, close=True), Outcome.RESET),
-        (says(b"HTTP/1.1 200 OK\r\n\r\nbody", close=True), Outcome.OK),  # ended by the close
+        (answers_with(b"", close=True), Outcome.RESET),
+        (answers_with(TRUNCATED, close=True), Outcome.RESET),
+        (answers_with(b"HTTP/1.1 200 OK\r\n\r\nbody", close=True), Outcome.OK),  # ended by the close
         (
-            says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", close=True),
+            answers_with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", close=True),
             Outcome.RESET,
         ),
-        (says(b"NONSENSE\r\n\r\n"), Outcome.RESET),
-        (says(answer(b"x" * 70_000, "500 Internal Server Error")), Outcome.ERROR),
+        (answers_with(b"NONSENSE\r\n\r\n"), Outcome.RESET),
+        (answers_with(answer(b"x" * 70_000, "500 Internal Server Error")), Outcome.ERROR),
         # Delimited by the close of the connection, which stays open here: not waited for.
-        (says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nbody"), Outcome.RESET),
+        (answers_with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nbody"), Outcome.RESET),
         *(
-            (says(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\nbody"), Outcome.RESET)
+            (answers_with(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\nbody"), Outcome.RESET)
             for framing in (
                 b"Content-Length: 4\r\nTransfer-Encoding: chunked",
                 b"Transfer-Encoding: chunked\r\nContent-Length: 4",
@@ -93,9 +93,9 @@
                 b"Transfer-Encoding: gzip, chunked",
             )
         ),
-        (says(answer(b"body").replace(b"\r\n", b"\n")), Outcome.RESET),
-        (says(b"\x80\x00\xff" * 100), Outcome.RESET),
-        (says(b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 200_000), Outcome.RESET),
+        (answers_with(answer(b"body").replace(b"\r\n", b"\n")), Outcome.RESET),
+        (answers_with(b"\x80\x00\xff" * 100), Outcome.RESET),
+        (answers_with(b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 200_000), Outcome.RESET),
     ],
 )
 def test_the_outcome_of_each_answer(handler: Handler, outcome: Outcome) -> None:
@@ -119,7 +119,7 @@
 )
 def test_a_complete_answer_in_other_framing(data: bytes) -> None:
     async def main() -> None:
-        stub = await Stub(says(data)).start()
+        stub = await Stub(answers_with(data)).start()
         end = await RecordedAttempt(make_pool(stub.address)).end()
         assert end.outcome is Outcome.OK and end.answer is not None and end.answer.body == b"body"
 
@@ -167,12 +167,12 @@
             writer.transport.abort()
 
         server = await asyncio.start_server(reset_unread, "127.0.0.1", 0)
-        ends: list[End] = []
+        ends: list[AttemptResult] = []
         pool = make_pool(server.sockets[0].getsockname())
         attempt = pool.start(1, lambda _: b"x" * 50_000_000, time.monotonic_ns() + 20 * SECOND, ends.append)
-        await until(lambda: attempt.connection is not None)
+        await wait_until(lambda: attempt.connection is not None)
         gate.set()
-        await until(lambda: bool(ends))
+        await wait_until(lambda: bool(ends))
         assert [end.outcome for end in ends] == [Outcome.CONNECT_FAILED]
 
     run(main())
@@ -183,10 +183,10 @@
         stub = await Stub(silent).start()
         pool = make_pool(stub.address)
         record = RecordedAttempt(pool)
-        await until(lambda: len(stub.seen) == 1)
+        await wait_until(lambda: len(stub.seen) == 1)
         record.attempt.give_up(Outcome.TIMEOUT)
         assert (await record.end()).outcome is Outcome.TIMEOUT
-        await until(lambda: stub.lost == 1 and pool.open == 0)  # the attempt is abandoned by closing
+        await wait_until(lambda: stub.lost == 1 and pool.open == 0)  # the attempt is abandoned by closing
 
     run(main())
 
@@ -204,7 +204,7 @@
 )
 def test_load_reports(text: str, report: LoadReport | None) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer(b"", X_Load=text))).start()
+        stub = await Stub(answers_with(answer(b"", X_Load=text))).start()
         end = await RecordedAttempt(make_pool(stub.address)).end()
         assert (end.outcome, end.report) == (Outcome.OK, report)
 
@@ -216,7 +216,7 @@
 
 def test_an_idle_connection_is_reused() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         pool = make_pool(stub.address)
         for _ in range(5):
             await RecordedAttempt(pool).end()
@@ -230,7 +230,7 @@
         stub = await Stub(silent).start()
         pool = make_pool(stub.address)
         first, second = RecordedAttempt(pool), RecordedAttempt(pool)
-        await until(lambda: len(stub.seen) == 2)
+        await wait_until(lambda: len(stub.seen) == 2)
         assert len(stub.writers) == 2 and not first.ends and not second.ends
 
     run(main())
@@ -238,7 +238,7 @@
 
 def test_a_connection_is_not_reused_after_connection_close() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer(b"", Connection="close"))).start()
+        stub = await Stub(answers_with(answer(b"", Connection="close"))).start()
         pool = make_pool(stub.address)
         await RecordedAttempt(pool).end()
         await RecordedAttempt(pool).end()
@@ -249,7 +249,7 @@
 
 def test_a_duplicate_answer_is_not_taken_for_that_of_the_next_request() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer(b"one") + answer(b"two"))).start()
+        stub = await Stub(answers_with(answer(b"one") + answer(b"two"))).start()
         pool = make_pool(stub.address)
         for _ in range(2):
             end = await RecordedAttempt(pool).end()
@@ -272,7 +272,7 @@
             await loop.sock_recv(peer, 4096)
             await loop.sock_sendall(peer, answer())
             assert (await record.end()).outcome is Outcome.OK
-            await until(lambda: len(pool.upstreams[1].idle) == 1)
+            await wait_until(lambda: len(pool.upstreams[1].idle) == 1)
             peer.close()
             record = RecordedAttempt(pool)  # in the same iteration of the loop
             peer, _ = await loop.sock_accept(server)
@@ -286,10 +286,10 @@
 
 def test_idle_connections_are_closed_before_the_keepalive_ends() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         pool = make_pool(stub.address, keepalive=0.05)
         await RecordedAttempt(pool).end()
-        await until(lambda: stub.lost == 1)
+        await wait_until(lambda: stub.lost == 1)
         assert pool.open == 0 and not pool.upstreams[1].idle
 
     run(main())
@@ -302,7 +302,7 @@
         recorded = [RecordedAttempt(pool) for _ in range(5)]
         ends = [await record.end() for record in recorded[3:]]
         assert [end.outcome for end in ends] == [Outcome.CONNECT_FAILED] * 2
-        await until(lambda: len(stub.seen) == 3)
+        await wait_until(lambda: len(stub.seen) == 3)
         assert pool.open == 3
 
     run(main())
@@ -310,18 +310,23 @@
 
 def test_at_the_limit_an_idle_connection_is_closed_for_a_new_one() -> None:
     async def main() -> None:
-        one, other = await Stub(says(answer())).start(), await Stub(says(answer())).start()
+        one, other = await Stub(answers_with(answer())).start(), await Stub(answers_with(answer())).start()
         pool = make_pool(one.address, limit=1)
         pool.put(2, other.address, 0, True)
         for number in (1, 2, 1, 2):
             assert (await RecordedAttempt(pool, number).end()).outcome is Outcome.OK
-            await until(lambda: pool.open == 1)
+            await wait_until(lambda: pool.open == 1)
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    "handler", [resets, says(b"\0" * 64), says(answer(b"", "500 Internal Server Error", Connection="close"))]
+    "handler",
+    [
+        resets,
+        answers_with(b"\0" * 64),
+        answers_with(answer(b"", "500 Internal Server Error", Connection="close")),
+    ],
 )
 def test_the_slot_of_a_broken_connection_is_free_for_an_immediate_retry(handler: Handler) -> None:
     """At the limit, a retry from the end of an attempt could not connect.
@@ -332,15 +337,15 @@
     async def main() -> None:
         stub = await Stub(handler).start()
         pool = make_pool(stub.address, limit=1)
-        deadline, ends = time.monotonic_ns() + 20 * SECOND, list[End]()
+        deadline, ends = time.monotonic_ns() + 20 * SECOND, list[AttemptResult]()
 
-        def ended(end: End) -> None:
+        def ended(end: AttemptResult) -> None:
             ends.append(end)
             if len(ends) < 3:
                 pool.start(1, lambda _: REQUEST, deadline, ended)
 
         pool.start(1, lambda _: REQUEST, deadline, ended)
-        await until(lambda: len(ends) == 3)
+        await wait_until(lambda: len(ends) == 3)
         assert Outcome.CONNECT_FAILED not in {end.outcome for end in ends} and len(stub.seen) == 3
 
     run(main())
@@ -351,16 +356,16 @@
         stub = await Stub(silent).start()
         pool = make_pool(stub.address)
         recorded = [RecordedAttempt(pool) for _ in range(3)]
-        await until(lambda: len(stub.seen) == 3)
+        await wait_until(lambda: len(stub.seen) == 3)
         stub.writers[0].write(answer())  # answered before the request that times out is written
         await recorded[0].end()
         lost = RecordedAttempt(pool)  # on the connection that was answered
-        await until(lambda: len(stub.seen) == 4)
+        await wait_until(lambda: len(stub.seen) == 4)
         stub.writers[1].write(answer())
         await recorded[1].end()
         before = pool.upstreams[1].idle[0]
         hung = RecordedAttempt(pool)
-        await until(lambda: len(stub.seen) == 5)
+        await wait_until(lambda: len(stub.seen) == 5)
         stub.writers[2].write(answer())
         await recorded[2].end()
         since = pool.upstreams[1].idle[0]
@@ -368,7 +373,7 @@
         await hung.end()
         assert pool.upstreams[1].idle == [since] and before is not since  # answered after that
         late = RecordedAttempt(pool)
-        await until(lambda: len(stub.seen) == 6)
+        await wait_until(lambda: len(stub.seen) == 6)
         late.attempt.give_up(Outcome.CANCELLED)
         pool.close_idle_since(pool.upstreams[1], pool.loop.time())
         assert not pool.upstreams[1].idle
@@ -420,19 +425,19 @@
 
 def test_a_new_connection_is_made_where_reused_ones_have_broken() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         pool = make_pool(stub.address)
         await RecordedAttempt(pool).end()
         stub.handler = resets
         for _ in range(3):
             assert (await RecordedAttempt(pool).end()).outcome is Outcome.RESET
-            stub.handler = says(answer())
+            stub.handler = answers_with(answer())
             await RecordedAttempt(pool).end()
             stub.handler = resets
         assert max(pool.staleness.broken) > 0  # recorded by real attempts
         pool.staleness.broken[0] = 10.0
-        stub.handler = says(answer())
-        await until(lambda: len(pool.upstreams[1].idle) == 1)
+        stub.handler = answers_with(answer())
+        await wait_until(lambda: len(pool.upstreams[1].idle) == 1)
         old = pool.upstreams[1].idle[0]
         assert (await RecordedAttempt(pool).end()).outcome is Outcome.OK
         assert old.transport is None or old.transport.is_closing()
@@ -468,12 +473,12 @@
     change: Callable[[Pool, tuple[str, int], RecordedAttempt], None],
 ) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         pool = make_pool(stub.address)
         record = RecordedAttempt(pool)
         change(pool, stub.address, record)
         assert (await record.end()).outcome is Outcome.NOT_SENT
-        await until(lambda: not pool.connecting)
+        await wait_until(lambda: not pool.connecting)
         assert not stub.seen
 
     run(main())
@@ -481,12 +486,12 @@
 
 def test_a_draining_upstream_gets_no_requests_and_its_idle_connections_are_closed() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         pool = make_pool(stub.address)
         await RecordedAttempt(pool).end()
         pool.put(1, stub.address, 0, False)
         assert (await RecordedAttempt(pool).end()).outcome is Outcome.NOT_SENT
-        await until(lambda: stub.lost == 1 and pool.open == 0)
+        await wait_until(lambda: stub.lost == 1 and pool.open == 0)
         assert len(stub.seen) == 1
 
     run(main())
@@ -494,7 +499,7 @@
 
 def test_no_attempt_ends_within_the_call_that_starts_it() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         pool = make_pool(stub.address)
         await RecordedAttempt(pool).end()
         late = RecordedAttempt(pool, left=-1)  # on an idle connection, which stays available
@@ -518,12 +523,12 @@
     """A keyed request was sent 0.6 s after its window: its connect completed as a process pause ended."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         pool = make_pool(stub.address)
         for begin_by, outcome in ((1, Outcome.NOT_SENT), (time.monotonic_ns() + 20 * SECOND, Outcome.OK)):
-            ends: list[End] = []
+            ends: list[AttemptResult] = []
             pool.start(1, lambda _: REQUEST, time.monotonic_ns() + 20 * SECOND, ends.append, begin_by)
-            await until(lambda ends=ends: bool(ends))  # type: ignore[misc]
+            await wait_until(lambda ends=ends: bool(ends))  # type: ignore[misc]
             assert ends[0].outcome is outcome
         assert len(stub.seen) == 1
 
@@ -538,16 +543,16 @@
         pool = make_pool(listener.getsockname())
         clock = pool.clock = FrozenClock()
         large, deadline = b"x" * (64 << 20), clock.now + 20 * SECOND
-        ends: list[End] = []
+        ends: list[AttemptResult] = []
         attempt = pool.start(1, lambda _: large, deadline, ends.append, clock.now + 1)
-        await until(lambda: attempt.connection is not None)
+        await wait_until(lambda: attempt.connection is not None)
         assert not attempt.fully_written()
-        await until(lambda: bool(ends))
+        await wait_until(lambda: bool(ends))
         assert ends[0].outcome is Outcome.NOT_SENT and pool.open == 0
         small = pool.start(1, lambda _: REQUEST, deadline, ends.append)
-        await until(small.fully_written)
+        await wait_until(small.fully_written)
         small.give_up(Outcome.CANCELLED)
-        await until(lambda: len(ends) == 2)
+        await wait_until(lambda: len(ends) == 2)
         assert ends[1].outcome is Outcome.CANCELLED
         listener.close()
 
--- a/tests/node/test_versions.py
+++ b/tests/node/test_versions.py
@@ -18,14 +18,14 @@
 import pytest
 
 from dykeshift.engine.config import ConfigError
-from dykeshift.engine.discovery import number_of
-from dykeshift.engine.upstream import End
+from dykeshift.engine.discovery import instance_number
+from dykeshift.engine.upstream import AttemptResult
 from dykeshift.interface import Outcome
 from dykeshift.node import features
 from dykeshift.node import versions as feature
 from dykeshift.node.features import Features
 from tests.node.messages import answer, instance, listing, request
-from tests.node.stubs import Node, Stub, node, resets, run, says, settings, until
+from tests.node.stubs import Node, Stub, answers_with, node, resets, run, settings, wait_until
 from tests.node.test_agree import on as agree_on
 from tests.node.test_upstream import REQUEST, make_pool
 from tests.node.test_view import ports
@@ -35,7 +35,7 @@
 
 def on(**options: Any) -> Features:
     chosen = msgspec.convert({"report_s": 0.05, "list_s": 0.0, **options}, feature.Options)
-    return Features((*agree_on(beat_s=0.02, lease_s=0.6).parts, (feature, chosen)))
+    return Features((*agree_on(beat_s=0.02, lease_s=0.6).enabled, (feature, chosen)))
 
 
 def service(balancer: Node) -> feature.Service:
@@ -44,7 +44,7 @@
 
 async def call(one: feature.Service, path: str, body: Any = None) -> tuple[int, dict[str, Any]]:
     got: asyncio.Future[tuple[int, dict[str, Any]]] = asyncio.get_running_loop().create_future()
-    one.host.offers.orders[b"PUT", path.encode()](
+    one.host.offers.deferred_calls[b"PUT", path.encode()](
         json.dumps(body or {}).encode(), lambda status, text: got.set_result((status, json.loads(text)))
     )
     return await got
@@ -83,14 +83,14 @@
 
 def test_settings_proposed_at_one_balancer_take_effect_at_all() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         one, two, three = nodes(stub, 3)
         async with one as a, two as b, three as c:
             every = [service(x) for x in (a, b, c)]
-            await until(lambda: all_act_on(every, 0))
+            await wait_until(lambda: all_act_on(every, 0))
             status, reply = await call(every[1], "/settings/propose", {"settings": made_unsafe(), "by": "op"})
             assert (status, reply["version"]) == (200, 1)
-            await until(lambda: all_act_on(every, 1))
+            await wait_until(lambda: all_act_on(every, 1))
             assert (await a.ask(request("check"))).start.split()[1] == "400"  # an unsafe class needs POST
             assert (await a.ask(request("check", method="POST"))).start.split()[1] == "200"
             shown = json.loads(every[2].calls.status())
@@ -109,7 +109,7 @@
 
 def test_a_ban_at_one_balancer_holds_at_all_and_any_can_lift_it() -> None:
     async def main() -> None:
-        first, second = [await Stub(says(answer(body))).start() for body in (b"first", b"second")]
+        first, second = [await Stub(answers_with(answer(body))).start() for body in (b"first", b"second")]
         peers = ports(2)
         one, two = (
             node(
@@ -126,25 +126,25 @@
         )
         async with one as a, two as b:
             here, there = service(a), service(b)
-            await until(lambda: all_act_on([here, there], 0))
+            await wait_until(lambda: all_act_on([here, there], 0))
             status, reply = await call(here, "/maintenance/enter", {"name": "s0"})
             assert (status, reply) == (200, {"here": True, "fleet": True})
             # no server would be left
             assert (await call(here, "/maintenance/enter", {"name": "s1"}))[0] == 409
             assert (await call(here, "/maintenance/enter", {"name": "s9"}))[0] == 404
-            await until(lambda: "s0" in there.core.acts.out)
+            await wait_until(lambda: "s0" in there.core.acts.out)
             for n in range(8):
                 assert (await b.ask(request(rid=f"r{n}"))).body == b"second"
             status, _ = await call(there, "/maintenance/exit", {"name": "s0"})
             assert status == 200
-            await until(lambda: not here.fleet_bans and not there.fleet_bans)
+            await wait_until(lambda: not here.fleet_bans and not there.fleet_bans)
             assert not a.front.driver.balancer.banned and not b.front.driver.balancer.banned
             assert (await call(there, "/maintenance/exit", {"name": "s1"}))[0] == 200  # it was never banned
             assert (await call(there, "/maintenance/exit", {"name": "s9"}))[0] == 404
             for _ in range(3):  # at once, whether the other knows of the ban by then or not
                 assert (await call(here, "/maintenance/enter", {"name": "s0"}))[1]["fleet"]
                 assert (await call(there, "/maintenance/exit", {"name": "s0"}))[0] == 200
-                await until(lambda: not here.fleet_bans and not there.fleet_bans)
+                await wait_until(lambda: not here.fleet_bans and not there.fleet_bans)
             for x in (here, there):
                 x.close()
 
@@ -153,7 +153,7 @@
 
 def test_a_balancer_with_an_older_list_avoids_servers_leaving_by_a_newer_one() -> None:
     async def main() -> None:
-        some = [await Stub(says(answer(b"s%d" % n))).start() for n in range(4)]
+        some = [await Stub(answers_with(answer(b"s%d" % n))).start() for n in range(4)]
 
         def rows(leaving: int) -> list[dict[str, Any]]:
             return [
@@ -175,14 +175,14 @@
         )
         async with one as a, two as b:
             here, there = service(a), service(b)
-            await until(lambda: all_act_on([here, there], 0))
+            await wait_until(lambda: all_act_on([here, there], 0))
             a.registry.put(listing(7, True, *rows(1)))
-            await until(lambda: there.leaving == {number_of("s0")})
+            await wait_until(lambda: there.leaving == {instance_number("s0")})
             assert {(await b.ask(request(rid=f"r{n}"))).body for n in range(24)} == {b"s1", b"s2", b"s3"}
             a.registry.put(listing(8, True, *rows(3)))
             # three of four are too many: logged and ignored
-            await until(lambda: there.core.lists.ignored > 0)
-            assert there.leaving == {number_of("s0")}
+            await wait_until(lambda: there.core.lists.ignored > 0)
+            assert there.leaving == {instance_number("s0")}
             for x in (here, there):
                 x.close()
 
@@ -196,16 +196,16 @@
         async with one as a:
             async with two as b, three as c:
                 every = [service(x) for x in (a, b, c)]
-                await until(lambda: all_act_on(every, 0))
+                await wait_until(lambda: all_act_on(every, 0))
                 for x in (b, c):
                     for each in x.services:
                         each.close()
             here = every[0]
-            await until(lambda: here.core.acts.doubtful)
+            await wait_until(lambda: here.core.acts.doubtful)
             assert a.front.is_ready()  # it has served before, so it stays ready
             reply = json.loads(here.agree.view.status())
             assert reply["rules"]["mode"] == "doubtful" and "majority" in reply["rules"]["why"]
-            assert a.front.driver.balancer.word.doubtful
+            assert a.front.driver.balancer.agreement.settings_uncertain
             # not retried: the attempt may have been executed
             assert (await a.ask(request("check"))).start.split()[1] == "500"
             assert len(stub.seen) == 1
@@ -213,7 +213,7 @@
             status, reply = await call(here, "/settings/propose", {"settings": made_unsafe()})
             assert status in (409, 503) and reply["reason"]
             assert (await call(here, "/settings/alone"))[0] == 200
-            await until(lambda: here.core.acts.mode == "in force")
+            await wait_until(lambda: here.core.acts.mode == "in force")
             for each in a.services:
                 each.close()
 
@@ -222,7 +222,7 @@
 
 def test_after_a_start_without_state_it_is_not_ready_until_informed_or_alone() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         one, two = nodes(stub, 2)
         async with one as a:
             here = service(a)
@@ -233,7 +233,7 @@
             assert a.front.is_ready() and here.core.acts.doubtful
             here.started_at = here.now()
             async with two as b:
-                await until(a.front.is_ready)
+                await wait_until(a.front.is_ready)
                 assert not here.core.acts.doubtful
                 for x in (*a.services, *b.services):
                     x.close()
@@ -244,13 +244,13 @@
 @pytest.mark.parametrize("hup", ["refuse", "propose"])
 def test_a_differing_file_is_logged_and_refused_or_proposed(hup: str) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         (one,) = nodes(stub, 1, hup=hup)
         async with one as a:
             here = service(a)
-            await until(lambda: all_act_on([here], 0))
+            await wait_until(lambda: all_act_on([here], 0))
             await call(here, "/settings/propose", {"settings": made_unsafe()})
-            await until(lambda: all_act_on([here], 1))
+            await wait_until(lambda: all_act_on([here], 1))
             assert a.given.peering is not None
             a.given = replace(a.given, peering=replace(a.given.peering, settings=WORDS))
             a.reload()
@@ -258,7 +258,7 @@
             ledger = a.front.driver.ledger
             assert (ledger.reloads, ledger.reloads_failed) == (0, 1) and "differs" in here.file_difference
             if hup == "propose":
-                await until(
+                await wait_until(
                     lambda: all_act_on([here], here.core.book.pages.rules.version)
                     and here.core.book.pages.rules.version > 1
                 )
@@ -280,7 +280,7 @@
     def __init__(self, changes: int) -> None:
         self.looks, self.changes = 0, changes
 
-    def look(self) -> int:
+    def rules_stamp(self) -> int:
         self.looks += 1
         return 1 + (self.looks > self.changes)
 
@@ -290,11 +290,11 @@
     """A process paused between decision and send, while it connects, may wake under a newer version."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        pool, ends = make_pool(stub.address), list[End]()
+        stub = await Stub(answers_with(answer())).start()
+        pool, ends = make_pool(stub.address), list[AttemptResult]()
         pool.gate = Gate(changes)
         pool.start(1, lambda _: REQUEST, time.monotonic_ns() + 20_000_000_000, ends.append, stamp=1)
-        await until(lambda: bool(ends))
+        await wait_until(lambda: bool(ends))
         assert ends[0].outcome is outcome and len(stub.seen) == (outcome is Outcome.OK)
 
     run(main())
--- a/tests/node/test_view.py
+++ b/tests/node/test_view.py
@@ -20,7 +20,7 @@
 from dykeshift.node import view as feature
 from dykeshift.node.features import Features, Host
 from tests.node.messages import answer
-from tests.node.stubs import Node, Stub, configuration, node, run, says, until
+from tests.node.stubs import Node, Stub, answers_with, configuration, node, run, wait_until
 
 KEYS = {
     "self",
@@ -58,14 +58,14 @@
 
 def test_two_balancers_see_each_other_and_one_leaves() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await Stub(answers_with(answer())).start()
         peers = ports(2)
         a = node(stub, beside=on(), name="a", peer_listen=peers[0], peers=peers)
         b = node(stub, beside=on(), name="b", peer_listen=peers[1], peers=peers)
         async with a as first, b as second:
             one, two = service(first), service(second)
-            await until(lambda: one.view.settled and one.view.standing.at_least == 2)
-            reply = json.loads(one.host.offers.calls[b"/fleet"]())
+            await wait_until(lambda: one.view.settled and one.view.standing.at_least == 2)
+            reply = json.loads(one.host.offers.immediate_calls[b"/fleet"]())
             assert reply.keys() >= KEYS
             assert [(m["name"], m["number"], m["state"]) for m in reply["members"]] == [
                 ("a", 0, "alive"),
@@ -73,7 +73,7 @@
             ]
             assert one.figures()["at_most"] == 2
             two.close()
-            await until(lambda: one.view.standing.at_most == 1)
+            await wait_until(lambda: one.view.standing.at_most == 1)
             one.close()
 
     run(main())
--- a/tests/scale/test_data_path.py
+++ b/tests/scale/test_data_path.py
@@ -134,8 +134,8 @@
 def sort_in_all(self: Balancer, now: int) -> None:
     """A module that goes on with servers that are gone."""
     self.ready = [s for s in self.servers.values() if s.entry.state is not ServerState.DRAINING]
-    self.cold, self.groups, self.sorted = [], {}, False
-    self._gather(now)
+    self.cold, self.groups, self.ready_is_sorted = [], {}, False
+    self._rebuild_pool(now)
 
 
 @pytest.mark.parametrize(
@@ -143,8 +143,8 @@
     [
         (Pool, "drop", keep_all, "upstreams of the pool"),
         (Driver, "_remove", keep_all, "upstreams of the pool"),
-        (Tenants, "_leave", keep_all, "homes"),
-        (Balancer, "_sort_out", sort_in_all, "the module's pool"),
+        (Tenants, "_vacate", keep_all, "homes"),
+        (Balancer, "_rebuild_ready", sort_in_all, "the module's pool"),
     ],
 )
 def test_an_entry_that_is_left_behind_is_found(
@@ -183,12 +183,12 @@
 
 
 def test_memory_is_flat_over_changes_of_the_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(driver_module, "EVER", 50)
+    monkeypatch.setattr(driver_module, "MAX_REMEMBERED_IDS", 50)
     assert bytes_a_change() < LEAST_LEAK
 
 
 def test_memory_that_grows_with_each_change_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(driver_module, "EVER", 50)
+    monkeypatch.setattr(driver_module, "MAX_REMEMBERED_IDS", 50)
     kept, take = list[Any](), Balancer.on_list
 
     def on_list(self: Balancer, now: int, update: Any) -> Any:
@@ -389,9 +389,9 @@
         del self.upstreams[number]
 def sort(self, now):
     self.ready = list(self.servers.values())
-    self.cold, self.groups, self.sorted = [], {}, False
-    self._gather(now)
-u.Pool.drop, u.Pool.start, r.Balancer._sort_out = keep, begin, sort
+    self.cold, self.groups, self.ready_is_sorted = [], {}, False
+    self._rebuild_pool(now)
+u.Pool.drop, u.Pool.start, r.Balancer._rebuild_ready = keep, begin, sort
 """
 SENDS_TO_LEAVING = """
 import dykeshift.engine.discovery as d
--- a/tests/shares/test_loans.py
+++ b/tests/shares/test_loans.py
@@ -18,7 +18,7 @@
 from dykeshift.shares import loans
 from dykeshift.shares.loans import SECOND, Shares, Terms
 from dykeshift.shares.wire import Ask, Grant, Return, decode, encode
-from dykeshift.view.wire import Bad, Seal
+from dykeshift.view.wire import DatagramError, Seal
 from tests.seeded import defect_tests, patched
 
 TERMS = Terms(lease=5 * SECOND)
@@ -171,9 +171,9 @@
 def test_decoding_any_bytes_gives_a_message_or_raises_bad(rest: bytes, kind: int) -> None:
     seal = Seal("fleet", b"key")
     body = bytes((1, kind)) + seal.tag.to_bytes(2, "big") + rest
-    for data in (rest, body + seal.of(body), encode(Return(1, 2, 3), seal)):
+    for data in (rest, body + seal.mac(body), encode(Return(1, 2, 3), seal)):
         try:
             found = decode(data, seal)
-        except Bad:
+        except DatagramError:
             continue
         assert decode(encode(found, seal), seal) == found
--- a/tests/sim/mllp_mutants.py
+++ b/tests/sim/mllp_mutants.py
@@ -42,7 +42,7 @@
             identity,
             header,
             due,
-            replace(end, how=terms.How.REFUSED) if end.how is terms.How.FAILED else end,
+            replace(end, status=terms.FinalStatus.REFUSED) if end.status is terms.FinalStatus.FAILED else end,
         )
 
     original = front.MllpFront._final
@@ -76,7 +76,7 @@
         return carrier.MllpAnswer(ack, content.replace(acks.parse(content).control_id, self.control_id))
 
     def complete(self: carrier.MllpLink, answer: Any, reuse: bool) -> None:
-        self.stray = False
+        self.has_unexpected_data = False
         original(self, answer, True)
 
     def received(self: carrier.MllpLink, data: bytes) -> None:
--- a/tests/sim/mutants.py
+++ b/tests/sim/mutants.py
@@ -70,7 +70,7 @@
 
 def _delay_refusals() -> list[Patch]:
     def finish(self: driver.Driver, job: driver.Job, final: terms.Final) -> None:
-        if final.how is terms.How.REFUSED:
+        if final.status is terms.FinalStatus.REFUSED:
             job.stage = Stage.OVER
             self.loop.call_later(0.1, job.reply, final)
         else:
@@ -99,7 +99,7 @@
 
 def _ignore_unread_close() -> list[Patch]:
     """Before an attempt, the client's connection is not checked for an unread close."""
-    return [(driver.Driver, "_wanted", lambda self, job: True)]
+    return [(driver.Driver, "_client_still_waits", lambda self, job: True)]
 
 
 def _abort_started_answers() -> list[Patch]:
@@ -109,19 +109,19 @@
         original(self, answer)
         self.front.loop.call_later(0.01, self.cut)
 
-    original = server.Client._begin_long
-    return [(server.Client, "_begin_long", begin)]
+    original = server.Client._start_streamed_answer
+    return [(server.Client, "_start_streamed_answer", begin)]
 
 
 def _keep_queued_for_gone_clients() -> list[Patch]:
     """Attempts that wait for a connection are sent after their client has left, where cancelling is off."""
 
     def client_gone(self: driver.Driver, request_id: str) -> None:
-        self._keep_back = lambda job: None  # type: ignore[method-assign]
+        self._withdraw_unwritten = lambda job: None  # type: ignore[method-assign]
         try:
             original(self, request_id)
         finally:
-            del self._keep_back
+            del self._withdraw_unwritten
 
     original = driver.Driver.client_gone
     return [(driver.Driver, "client_gone", client_gone)]
@@ -131,11 +131,11 @@
     """After a failed watch the balancer pauses for four times the watch's duration, whatever ended it."""
 
     def ask_later(self: rules.Balancer, now: int, end: CallEnd) -> None:
-        self.watching = False
-        pause = min(4 * (now - self.asked) + 300_000_000, 5_000_000_000)
-        self.acts.append(SetTimer("watch", now + int(pause * (0.5 + 0.5 * self.random()))))
+        self.watch_open = False
+        pause = min(4 * (now - self.watch_opened_at) + 300_000_000, 5_000_000_000)
+        self.pending_actions.append(SetTimer("watch", now + int(pause * (0.5 + 0.5 * self.random()))))
 
-    return [(rules.Balancer, "_ask_later", ask_later), (discovery, "QUIET", 2.0)]
+    return [(rules.Balancer, "_schedule_watch", ask_later), (discovery, "REPEATED_ANSWER_TIMEOUT_S", 2.0)]
 
 
 def _keep_unlisted() -> list[Patch]:
@@ -168,22 +168,22 @@
     def judge(answer: bodies.Answer) -> Outcome:
         return Outcome.FULL if answer.status == 500 else original(answer)
 
-    original = http_carrier.judge
-    return [(http_carrier, "judge", judge)]
+    original = http_carrier.outcome_of
+    return [(http_carrier, "outcome_of", judge)]
 
 
 def _retry_unsafe() -> list[Patch]:
-    def may_send(self: rules.Balancer, now: int, item: rules.Open) -> bool:
+    def may_send(self: rules.Balancer, now: int, item: rules.OpenRequest) -> bool:
         if item.klass.idempotency is Idempotency.UNSAFE and len(item.attempts) < 2 and not item.closed:
             return now < item.request.deadline
         return original(self, now, item)
 
-    original = rules.Balancer._may_send
-    return [(rules.Balancer, "_may_send", may_send)]
+    original = rules.Balancer._attempt_allowed
+    return [(rules.Balancer, "_attempt_allowed", may_send)]
 
 
 def _ignore_rack() -> list[Patch]:
-    def allowed(self: rules.Balancer, now: int, item: rules.Open, one: rules.Server) -> bool:
+    def allowed(self: rules.Balancer, now: int, item: rules.OpenRequest, one: rules.Server) -> bool:
         klass = item.klass
         item.klass = replace(klass, scope=Scope.ALL)
         try:
@@ -191,10 +191,10 @@
         finally:
             item.klass = klass
 
-    original = rules.Balancer._allowed
+    original = rules.Balancer._server_allowed
     return [
-        (rules.Balancer, "_allowed", allowed),
-        (rules.Balancer, "_group", lambda self, anchor, scope: list(self.ready)),
+        (rules.Balancer, "_server_allowed", allowed),
+        (rules.Balancer, "_servers_in_scope", lambda self, anchor, scope: list(self.ready)),
     ]
 
 
@@ -210,21 +210,24 @@
 def _no_cold_budget() -> list[Patch]:
     """Cold servers are preferred and have no budget, as with plain least-connections."""
 
-    def draw(self: rules.Balancer, now: int, item: rules.Open) -> list[rules.Server]:
+    def draw(self: rules.Balancer, now: int, item: rules.OpenRequest) -> list[rules.Server]:
         tried = {attempt.server.entry.id for attempt in item.attempts}
         new = [s for s in self.pool if self._cold(now, s) and s.entry.id not in tried]
-        return new if new and not item.anchor() else original(self, now, item)
+        return new if new and not item.first_possibly_run() else original(self, now, item)
 
-    original = rules.Balancer._draw
-    return [(rules.Balancer, "_cold_room", lambda self, now, one: True), (rules.Balancer, "_draw", draw)]
+    original = rules.Balancer._sample
+    return [
+        (rules.Balancer, "_within_cold_budget", lambda self, now, one: True),
+        (rules.Balancer, "_sample", draw),
+    ]
 
 
 def _refuse_all() -> list[Patch]:
-    def give_up(self: rules.Balancer, now: int, item: rules.Open) -> None:
-        self.acts.append(Refuse(item.request.id, 0))
+    def give_up(self: rules.Balancer, now: int, item: rules.OpenRequest) -> None:
+        self.pending_actions.append(Refuse(item.request.id, 0))
         self._close(item)
 
-    return [(rules.Balancer, "_give_up", give_up)]
+    return [(rules.Balancer, "_answer_without_server", give_up)]
 
 
 def _fourth_attempt() -> list[Patch]:
@@ -262,7 +265,7 @@
     """The deadline sent upstream is the client's full deadline, whatever time has passed."""
 
     def message(self: requests.Incoming, left: int) -> Any:
-        return original(self, self.patience)
+        return original(self, self.client_timeout)
 
     original = requests.Incoming.message
     return [(requests.Incoming, "message", message)]
@@ -279,7 +282,7 @@
 
 def _leak_job() -> list[Patch]:
     def forget(self: driver.Driver, job: driver.Job) -> None:
-        if not job.incoming.retry:
+        if not job.request.retry:
             original(self, job)
 
     original = driver.Driver._forget
@@ -315,7 +318,7 @@
     """A client gets the previous answer."""
 
     def finish(self: Any, job: driver.Job, final: terms.Final) -> None:
-        if final.how is terms.How.SERVED:
+        if final.status is terms.FinalStatus.SERVED:
             before = self.__dict__.get("before", final.answer)
             self.before, final = final.answer, replace(final, answer=before)
         original(self, job, final)
@@ -343,7 +346,7 @@
 
 def _keep_old_discovery() -> list[Patch]:
     return [
-        (discovery.Discovery, "move", lambda self, address: None),
+        (discovery.DiscoveryClient, "move", lambda self, address: None),
         (reload.Reload, "__call__", lambda self: None),
     ]
 
@@ -361,16 +364,16 @@
 
     def finish(self: driver.Driver, job: driver.Job, final: terms.Final) -> None:
         original(self, job, final)
-        if job.guard is not None:
-            job.guard.cancel()
+        if job.deadline_timer is not None:
+            job.deadline_timer.cancel()
 
     original = driver.Driver._finish
     return [(driver.Driver, "_finish", finish)]
 
 
 def _trust_old_racks() -> list[Patch]:
-    def send(self: rules.Balancer, now: int, item: rules.Open, one: rules.Server) -> None:
-        one.sure = True
+    def send(self: rules.Balancer, now: int, item: rules.OpenRequest, one: rules.Server) -> None:
+        one.confirmed = True
         original(self, now, item, one)
 
     original = rules.Balancer._send
@@ -382,31 +385,31 @@
 
 
 def _crowd_never_ends() -> list[Patch]:
-    def place(self: rules.Balancer, now: int, item: rules.Open) -> None:
-        kept, crowd = self.out, self.crowd
-        self.out = kept or 1
+    def place(self: rules.Balancer, now: int, item: rules.OpenRequest) -> None:
+        kept, crowd = self.attempts_in_flight, self.overload
+        self.attempts_in_flight = kept or 1
         original(self, now, item)
-        self.out -= 0 if kept else 1
+        self.attempts_in_flight -= 0 if kept else 1
         assert crowd >= 0
 
-    original = rules.Balancer._place
-    return [(rules.Balancer, "_place", place)]
+    original = rules.Balancer._dispatch
+    return [(rules.Balancer, "_dispatch", place)]
 
 
 def _arrival_time_when_read() -> list[Patch]:
-    def of(self: arrivals.Arrivals, transport: Any) -> int:
+    def arrival_time(self: arrivals.Arrivals, transport: Any) -> int:
         return min(self.clock.monotonic_ns(), int(self.loop.time() * 1e9))
 
-    return [(arrivals.Arrivals, "of", of)]
+    return [(arrivals.Arrivals, "arrival_time", arrival_time)]
 
 
 def _no_timer_margin() -> list[Patch]:
-    return [(driver, "EARLY", 0.0)]
+    return [(driver, "TIMER_SLACK_S", 0.0)]
 
 
 def _count_wrong() -> list[Patch]:
     def lost(self: server.Client, exc: Exception | None) -> None:
-        self.front.served += self.answers > 0
+        self.front.answered_clients += self.answers > 0
         original(self, exc)
 
     original = server.Client.connection_lost
@@ -429,12 +432,12 @@
     def do(self: driver.Driver, actions: Any, stamp: int = 0) -> None:
         original(self, [a for a in actions if not isinstance(a, Fail)], stamp)
 
-    original = driver.Driver._do
-    return [(driver.Driver, "_do", do)]
+    original = driver.Driver._execute
+    return [(driver.Driver, "_execute", do)]
 
 
 def _ignore_cold_budget() -> list[Patch]:
-    return [(rules.Balancer, "_cold_room", lambda self, now, one: True)]
+    return [(rules.Balancer, "_within_cold_budget", lambda self, now, one: True)]
 
 
 MUTANTS = [
--- a/tests/sim/ops_mutants.py
+++ b/tests/sim/ops_mutants.py
@@ -7,8 +7,8 @@
 
 from dykeshift import rules
 from dykeshift.engine import drain, ledger, server, upstream
-from dykeshift.engine.discovery import number_of
-from dykeshift.engine.terms import How
+from dykeshift.engine.discovery import instance_number
+from dykeshift.engine.terms import FinalStatus
 from dykeshift.interface import ListKind
 from dykeshift.node import desk, reload
 from dykeshift.sim import referee
@@ -31,12 +31,12 @@
 
 
 def _confirm_before_ban() -> list[Patch]:
-    def enter(self: desk.Desk, name: str) -> bool:
+    def enter(self: desk.ProcessBackend, name: str) -> bool:
         self.driver.loop.call_later(0.6, original, self, name)
-        return number_of(name) in self.driver.listed_ever
+        return instance_number(name) in self.driver.recently_listed
 
-    original = desk.Desk.enter
-    return [(desk.Desk, "enter", enter)]
+    original = desk.ProcessBackend.enter
+    return [(desk.ProcessBackend, "enter", enter)]
 
 
 def _ignore_ban() -> list[Patch]:
@@ -68,7 +68,7 @@
 
 
 def _drain_closes_busy_connections() -> list[Patch]:
-    def close_idle(self: server.Front, orders: drain.Orders) -> None:
+    def close_idle(self: server.Front, orders: drain.Actions) -> None:
         if orders.close_silent:
             for client in list(self.clients):
                 client.abort()
@@ -79,14 +79,17 @@
 
 
 def _standby_keeps_idle_connections() -> list[Patch]:
-    def look(
-        self: drain.Drain, now: float, found: drain.Open, hurry: drain.Hurry = drain.Hurry.NONE
-    ) -> drain.Orders:
-        orders = original(self, now, found, hurry)
+    def step(
+        self: drain.Drain,
+        now: float,
+        found: drain.OpenConnections,
+        urgency: drain.Urgency = drain.Urgency.NONE,
+    ) -> drain.Actions:
+        orders = original(self, now, found, urgency)
         return orders if self.ending else replace(orders, close_kept=False)
 
-    original = drain.Drain.look
-    return [(drain.Drain, "look", look), (server, "ONCE", 30.0)]
+    original = drain.Drain.step
+    return [(drain.Drain, "step", step), (server, "SHORT_IDLE_TIMEOUT", 30.0)]
 
 
 def _ignore_active() -> list[Patch]:
@@ -113,7 +116,7 @@
     """A reload drops the old classes before the new ones have been validated."""
 
     def call(self: reload.Reload) -> None:
-        self.reader.know((), frozenset())
+        self.reader.set_classes((), frozenset())
         original(self)
 
     original = reload.Reload.__call__
@@ -128,24 +131,24 @@
         return original(self, *args, **kwargs)
 
     original = upstream.Pool.start
-    return [(upstream.Pool, "start", start), (upstream.Attempt, "whole", lambda self: None)]
+    return [(upstream.Pool, "start", start), (upstream.Attempt, "request_written", lambda self: None)]
 
 
 def _refusals_counted_as_failures() -> list[Patch]:
-    def end(self: ledger.Tier, how: Any) -> None:
-        original(self, How.FAILED if how is How.REFUSED else how)
+    def end(self: ledger.ClassCounts, how: Any) -> None:
+        original(self, FinalStatus.FAILED if how is FinalStatus.REFUSED else how)
 
-    original = ledger.Tier.end
-    return [(ledger.Tier, "end", end)]
+    original = ledger.ClassCounts.end
+    return [(ledger.ClassCounts, "end", end)]
 
 
 def _served_counted_twice() -> list[Patch]:
-    def end(self: ledger.Tier, how: Any) -> None:
+    def end(self: ledger.ClassCounts, how: Any) -> None:
         original(self, how)
-        self.success += how is How.SERVED
+        self.success += how is FinalStatus.SERVED
 
-    original = ledger.Tier.end
-    return [(ledger.Tier, "end", end)]
+    original = ledger.ClassCounts.end
+    return [(ledger.ClassCounts, "end", end)]
 
 
 OPERATORS_MUTANTS = [
--- a/tests/soak/defects.py
+++ b/tests/soak/defects.py
@@ -77,9 +77,9 @@
 
     def answer(self: server.Client, reply: replies.Reply) -> None:
         if self.transport is not None and self.busy:
-            keep = self._keeps()
+            keep = self._should_keep_alive()
             self.transport.write(replies.render(reply, keep))
-            self._answered(keep)
+            self._answer_written(keep)
 
     return [
         (Stage, "may_be_answered", property(lambda stage: stage is not Stage.OVER)),
@@ -139,8 +139,8 @@
     def finish(self: driver.Driver, job: driver.Job, final: terms.Final) -> None:
         original(self, job, final)
         number = next(iter(self.ready), None)
-        if final.how is terms.How.SERVED and number is not None:
-            encoder = self.pool.carrier.words(job.incoming)
+        if final.status is terms.FinalStatus.SERVED and number is not None:
+            encoder = self.pool.carrier.encoder(job.request)
             until = self.clock.monotonic_ns() + 2_000_000_000
             self.loop.call_later(0.5, self.pool.start, number, encoder, until, lambda end: None)
 
@@ -152,8 +152,8 @@
     """The deadline sent upstream is 0.6 s longer than the time left."""
 
     def message(self: requests.Incoming, left: int) -> Any:
-        extended = replace(self, patience=left + 600_000_000)
-        return original(extended, extended.patience)
+        extended = replace(self, client_timeout=left + 600_000_000)
+        return original(extended, extended.client_timeout)
 
     original = requests.Incoming.message
     return [(requests.Incoming, "message", message)]
@@ -166,7 +166,7 @@
     """A client that disconnects is neither noticed nor checked for."""
     return [
         (driver.Driver, "client_gone", lambda self, request_id: None),
-        (driver.Driver, "_wanted", lambda self, job: True),
+        (driver.Driver, "_client_still_waits", lambda self, job: True),
     ]
 
 
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -17,7 +17,7 @@
 from dykeshift.standins.messages import Message, MessageError, Messages, render
 from dykeshift.standins.registry import Instance, Registry
 from dykeshift.standins.sender import Mood, Rack, Sender, Shape
-from tests.node.stubs import run, until
+from tests.node.stubs import run, wait_until
 
 # ---- messages ----
 
@@ -104,7 +104,7 @@
 @asynccontextmanager
 async def serving(one: Any) -> AsyncIterator[tuple[str, int]]:
     task = asyncio.create_task(one.serve("127.0.0.1", 0))
-    await until(lambda: one.server is not None)
+    await wait_until(lambda: one.server is not None)
     try:
         yield one.server.sockets[0].getsockname()
     finally:
@@ -157,7 +157,7 @@
         one = sender(seen, Shape(slots=1, queue=1))
         async with serving(one) as to:
             waiting = [await ask(to, f"r{n}", cost=60_000) for n in range(2)]
-            await until(lambda: len(seen.events) >= 3)
+            await wait_until(lambda: len(seen.events) >= 3)
             got = await (await ask(to, "r2"))()
             assert (got.status, got.headers["x-not-run"]) == (503, "1")
             one.drain()
@@ -239,7 +239,7 @@
             assert first["reset"] and [i["instanceId"] for i in first["instances"]] == ["a"]
             version = first["generation"]
             waiting = asyncio.create_task(call(f"/v1/endpoints?from={version}&hold_ms=30000"))
-            await until(lambda: bool(registry.waiting))
+            await wait_until(lambda: bool(registry.waiting))
             registry.leave("a")
             told = await waiting
             assert not told["reset"] and told["instances"][0]["lifecycle"] == "leaving"
@@ -274,7 +274,7 @@
     front.taken_in[server.sockets[0].getsockname()] = 0.0
     crowd = Crowd(front, seen, Random(1), on_end=lambda e, how, answer: ended.append(how))
     crowd.begin(Errand("e", "k", kind, 5.0, retries=retries))
-    await until(lambda: bool(ended))
+    await wait_until(lambda: bool(ended))
     crowd.hang_up()
     server.close()
     return [*seen.events, ended[0]]
--- a/tests/store/machine.py
+++ b/tests/store/memory_disk.py
@@ -9,7 +9,7 @@
 from dykeshift.store.worker import Thread, Worker
 
 
-class Machine:
+class MemoryDisk:
     """Implements `dykeshift.store.disk.Disk`."""
 
     def __init__(self, disk: Disk) -> None:
--- a/tests/store/test_log.py
+++ b/tests/store/test_log.py
@@ -11,14 +11,14 @@
 from dykeshift.standins.disk import Disk
 from dykeshift.store.files import Directory
 from dykeshift.store.log import Log, LogError
-from dykeshift.store.records import FILE_HEADER_BYTES, MARK, LogFormatError, encode, file_head, scan
+from dykeshift.store.records import FILE_HEADER_BYTES, MARK, LogFormatError, encode, file_header, scan
 
 KIND = b"t1"
 PAYLOADS = st.lists(st.binary(max_size=40), max_size=8)
 
 
 def image(payloads: list[bytes]) -> bytes:
-    return file_head(KIND) + b"".join(map(encode, payloads))
+    return file_header(KIND) + b"".join(map(encode, payloads))
 
 
 @given(PAYLOADS)
@@ -52,7 +52,7 @@
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_read_or_rejected_as_foreign(data: bytes) -> None:
-    for text in (data, file_head(KIND) + data):
+    for text in (data, file_header(KIND) + data):
         try:
             found = scan(text, KIND)
         except LogFormatError:
@@ -180,4 +180,4 @@
     disk = Disk()
     disk.seen["log"] = disk.kept["log"] = head
     log = Log(disk, "log", KIND)
-    assert log.open().payloads == [] and disk.seen["log"] == file_head(KIND)
+    assert log.open().payloads == [] and disk.seen["log"] == file_header(KIND)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -97,11 +97,11 @@
 
 def test_avoided_counts_listed_servers_that_are_banned_draining_or_ejected() -> None:
     made = world(0, 1, 2, 3)
-    assert made.balancer.avoided(made.now) == 0
+    assert made.balancer.excluded_count(made.now) == 0
     made.play(made.balancer.on_ban(made.now, 1))
     made.announce(ListKind.DELTA, entry(2, ServerState.DRAINING), entry(3, ServerState.GONE))
-    assert made.balancer.avoided(made.now) == 2
-    made.balancer.servers[0].rest_until = made.now + 1
-    assert made.balancer.avoided(made.now) == 3
+    assert made.balancer.excluded_count(made.now) == 2
+    made.balancer.servers[0].ejected_until = made.now + 1
+    assert made.balancer.excluded_count(made.now) == 3
     made.announce(ListKind.DELTA, entry(1, ServerState.GONE))  # banned, but not listed
-    assert made.balancer.avoided(made.now) == 2
+    assert made.balancer.excluded_count(made.now) == 2
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -246,13 +246,13 @@
 
 def test_a_moved_discovery_is_called_soon_and_once() -> None:
     world = World(make_settings(ask_discovery=True))
-    world.balancer.in_vain = 100  # overloaded discovery: the next pause is at least six seconds long
+    world.balancer.failed_calls = 100  # overloaded discovery: the next pause is at least six seconds long
     world.advance(2 * S)
     world.play(world.balancer.on_list(world.now, ServerList(ListKind.FAILED)))
     assert min(at for at, token in world.timers if token == "watch") > world.now + 3 * S
     world.play(world.balancer.on_discovery_moved(world.now))
     world.advance(1510 * MS)
-    assert world.watches == 2 and world.balancer.in_vain == 0
+    assert world.watches == 2 and world.balancer.failed_calls == 0
     world.advance(12 * S)
     assert world.watches == 2  # the earlier pause ends without a second call
     world.settle()
@@ -279,7 +279,7 @@
 )
 def test_a_refusal_says_when_to_retry_within_the_limit(limit: int, admit: float, least: int) -> None:
     world = World(make_settings(retry_advice_limit=limit))
-    world.balancer.admit = admit
+    world.balancer.admitted_share = admit
     world.submit(0)
     world.advance(S)
     (refusal,) = (a for a in world.actions if isinstance(a, Refuse))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -251,10 +251,10 @@
     for started, grows in ((0, False), (1, True)):
         world = fleet(2)
         world.announce(ListKind.DELTA, entry(2, started=started and world.now))
-        world.balancer.out += 1  # the overload estimate falls while nothing is in flight
-        world.balancer.crowd = 1.0
+        world.balancer.attempts_in_flight += 1  # the overload estimate falls while nothing is in flight
+        world.balancer.overload = 1.0
         world.advance(400 * MS)  # until the next sweep
-        world.balancer.crowd = 1.0
+        world.balancer.overload = 1.0
         before = world.balancer.servers[0].concurrency_limit
         for _ in range(4):
             for _ in range(6):
@@ -273,7 +273,7 @@
         rid = world.submit(2)
         world.advance(300 * MS)
         world.end_all(rid)
-    assert world.balancer.admit < 0.5
+    assert world.balancer.admitted_share < 0.5
     world.announce(ListKind.FULL, *(entry(n) for n in range(100, 160)))  # none of them is ejected yet
     rids = [world.submit(2) for _ in range(8)]
     refused = sum(world.requests[r].final == "Refuse" for r in rids)
@@ -283,7 +283,7 @@
         rid = world.submit(2)
         world.advance(40 * MS)
         world.end_all(rid)
-    assert world.balancer.admit == MAX_ADMISSION, "quick answers raise the admitted share again"
+    assert world.balancer.admitted_share == MAX_ADMISSION, "quick answers raise the admitted share again"
 
 
 def test_late_attempts_at_a_server_with_free_cores_do_not_cut_its_limit() -> None:
@@ -446,9 +446,9 @@
     """Seconds after an overload two of three classes were still refused while every server was idle."""
     world = fleet(4, balancers=1)
     warm_up(world)
-    world.balancer.crowd = 0.95
+    world.balancer.overload = 0.95
     rid = world.submit(0)
-    assert world.requests[rid].servers and world.balancer.crowd < 0.1
+    assert world.requests[rid].servers and world.balancer.overload < 0.1
     world.settle()
 
 
@@ -456,9 +456,9 @@
     """After an overload so little was admitted that no answers came to show that it was over."""
     world = fleet(4, balancers=1)
     warm_up(world)
-    world.balancer.admit = 0.1
+    world.balancer.admitted_share = 0.1
     world.advance(20 * world.settings.overload_window // 4)
-    assert world.balancer.admit == 1.0
+    assert world.balancer.admitted_share == 1.0
 
 
 def test_each_attempt_of_a_keyed_request_has_a_limit_for_its_sending() -> None:
@@ -470,7 +470,7 @@
     world.advance(20 * MS)
     world.end(rid, 0, Outcome.RESET)
     sends = [a for a in world.actions if isinstance(a, Send) and a.request_id == rid]
-    assert [s.begin_by for s in sends] == [began + world.settings.classes[1].window] * 2
+    assert [s.write_deadline for s in sends] == [began + world.settings.classes[1].window] * 2
 
 
 @pytest.mark.parametrize(("gap", "least", "most"), [(40, 10, 11), (10, 35, 45), (4, 60, 60)])
@@ -501,13 +501,15 @@
     """Of 40 instances with pools of 10 of 60 servers, seven sample from one: fewer requests vary more."""
     world = fleet(60, balancers=40)
     asked = []
-    used = world.balancer._used
-    world.balancer._used = lambda limit: asked.append(limit) or used(limit)  # type: ignore[func-returns-value,method-assign]
+    used = world.balancer._usable_budget_share
+    world.balancer._usable_budget_share = lambda limit: asked.append(limit) or used(limit)  # type: ignore[func-returns-value,method-assign]
     warm_up(world, 60, 2)
     started = world.now
     world.announce(ListKind.DELTA, *(entry(n, started=started) for n in range(60)))
     warm_up(world, 20, 2)
     b = world.balancer
     assert len(b.pool) < 20 and asked
-    all_to_a_whole_one = b.settings.overload_multiple * b.arrivals * b.settings.balancers / len(b.ready)
+    all_to_a_whole_one = (
+        b.settings.overload_multiple * b.requests_per_window * b.settings.balancers / len(b.ready)
+    )
     assert max(asked) <= 2 * all_to_a_whole_one * b.settings.cold_share + 1
--- a/tests/test_word.py
+++ b/tests/test_fleet_agreement.py
@@ -6,9 +6,19 @@
 
 import pytest
 
-from dykeshift.interface import AttemptEnd, Fail, Idempotency, Outcome, Refuse, Request, Scope, Send, Word
+from dykeshift.interface import (
+    AttemptEnd,
+    Fail,
+    Idempotency,
+    Outcome,
+    Refuse,
+    Request,
+    Scope,
+    Send,
+    FleetAgreement,
+)
 from dykeshift.rules import Balancer
-from dykeshift.settings import narrower
+from dykeshift.settings import restrict_repeats
 from dykeshift.interface import ListKind, RequestClass, ServerList
 from tests.harness import MS, entry, make_settings
 
@@ -44,7 +54,7 @@
     certain = warmed()
     assert len(sends(ask(certain, MS))) > 1
     doubtful = warmed()
-    doubtful.on_word(0, Word(doubtful=True))
+    doubtful.on_fleet_agreement(0, FleetAgreement(settings_uncertain=True))
     first = sends(ask(doubtful, MS))
     assert len(first) == 1
     again = doubtful.on_attempt_end(2 * MS, end("r", 0, first[0].server, Outcome.RESET))
@@ -54,7 +64,7 @@
 
 def test_in_doubt_what_has_certainly_not_run_is_sent_again() -> None:
     doubtful = warmed(UNSAFE)
-    doubtful.on_word(0, Word(doubtful=True))
+    doubtful.on_fleet_agreement(0, FleetAgreement(settings_uncertain=True))
     first = sends(ask(doubtful, MS))
     assert sends(list(doubtful.on_attempt_end(2 * MS, end("r", 0, first[0].server, Outcome.CONNECT_FAILED))))
 
@@ -65,7 +75,7 @@
         balancer = warmed()
         first = sends(ask(balancer, MS))
         new = replace(balancer.settings, classes=(replace(balancer.settings.classes[0], idempotency=UNSAFE),))
-        balancer.on_settings(2 * MS, new, narrower if narrow else None)
+        balancer.on_settings(2 * MS, new, restrict_repeats if narrow else None)
         found: list[object] = []
         for number, one in enumerate(first):
             found += balancer.on_attempt_end(3 * MS, end("r", number, one.server, Outcome.RESET))
@@ -75,20 +85,22 @@
 def test_excluded_servers_get_nothing_and_closed_classes_are_refused() -> None:
     balancer = warmed()
     others = frozenset(range(1, 8))
-    balancer.on_word(0, Word(out=others))
+    balancer.on_fleet_agreement(0, FleetAgreement(excluded_servers=others))
     assert {s.server for n in range(20) for s in sends(ask(balancer, n * MS, f"r{n}"))} <= {0}
-    balancer.on_word(30 * MS, Word(closed=frozenset({balancer.settings.classes[0].name})))
+    balancer.on_fleet_agreement(
+        30 * MS, FleetAgreement(closed_classes=frozenset({balancer.settings.classes[0].name}))
+    )
     assert any(isinstance(a, Refuse) for a in ask(balancer, 31 * MS, "closed"))
-    balancer.on_word(32 * MS, Word(out=frozenset(range(8))))
+    balancer.on_fleet_agreement(32 * MS, FleetAgreement(excluded_servers=frozenset(range(8))))
     assert any(isinstance(a, Refuse) for a in ask(balancer, 33 * MS, "none"))
-    assert balancer.avoided(33 * MS) == 8
+    assert balancer.excluded_count(33 * MS) == 8
 
 
 def test_preferred_servers_go_first_among_the_idle() -> None:
     met = []
     for preferred in (frozenset[int](), frozenset({3})):
         balancer, count = warmed(UNSAFE), 0
-        balancer.on_word(0, Word(preferred=preferred))
+        balancer.on_fleet_agreement(0, FleetAgreement(preferred=preferred))
         for n in range(40):
             (sent,) = sends(ask(balancer, n * 900 * MS, f"r{n}"))
             count += sent.server == 3
@@ -111,7 +123,7 @@
     one: tuple[Idempotency, Scope], other: tuple[Idempotency, Scope], kind: Idempotency
 ) -> None:
     a, b = klass(*one), replace(klass(*other), window=7)
-    found = narrower(a, b)
-    assert found.idempotency is kind is narrower(b, a).idempotency
+    found = restrict_repeats(a, b)
+    assert found.idempotency is kind is restrict_repeats(b, a).idempotency
     assert found.window == min(a.window, 7) or kind is UNSAFE
-    assert narrower(found, a) == found
+    assert restrict_repeats(found, a) == found
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -32,7 +32,7 @@
     SetTimer,
 )
 from dykeshift.rules import HANG_THRESHOLD, Balancer, ClassRecord, Placement, assign_places
-from dykeshift.settings import narrower
+from dykeshift.settings import restrict_repeats
 from tests.harness import CLASSES, MS, S, World, entry, make_settings
 from tests.seeded import Defect, defect_tests, patched
 
@@ -50,7 +50,7 @@
 
 def state_size(balancer: Balancer) -> Counter[str]:
     """Number of objects of each type that the module refers to, directly or indirectly."""
-    balancer.acts = []
+    balancer.pending_actions = []
     count: Counter[str] = Counter()
     seen: set[int] = set()
     todo: list[Any] = [balancer]
@@ -73,7 +73,7 @@
         "Server",
         "ClassState",
         "ClassRecord",
-        "Open",
+        "OpenRequest",
         "Request",
         "Attempt",
         "RequestClass",
@@ -160,7 +160,7 @@
         assert max(size[kind] for size in sizes[1:]) <= sizes[0][kind] + 3 * OPEN_REQUESTS, (kind, sizes)
         assert max(size[kind] for size in sizes) <= most, (kind, sizes)
     left = run.settle()
-    assert left["Open"] == left["Request"] == 0
+    assert left["OpenRequest"] == left["Request"] == 0
     assert left["ClassRecord"] <= 2 * len(CLASSES) + OPEN_REQUESTS and left["Server"] == SERVERS
     assert all(state.failures for record in run.world.balancer.records for state in record.states.values())
 
@@ -228,7 +228,7 @@
         place = places[pick % len(places)]
         seen = self.world.requests[self.world.submit(place, patience)]
         if self.narrow and place in settings.retired:
-            seen.klass = narrower(seen.klass, self.in_force().get(seen.klass.name, seen.klass))
+            seen.klass = restrict_repeats(seen.klass, self.in_force().get(seen.klass.name, seen.klass))
 
     def in_force(self) -> dict[str, RequestClass]:
         settings = self.world.settings
@@ -280,7 +280,7 @@
             for n, (name, kind) in enumerate(zip(names, kinds, strict=False))
         )
         world, old = self.world, self.world.settings
-        method = narrower if self.narrow else None
+        method = restrict_repeats if self.narrow else None
         new = replace(make_settings(balancers=1), classes=classes)
         world.play(world.balancer.on_settings(world.now, new, method, held=set(self.kept)))
         world.settings = world.balancer.settings
@@ -292,7 +292,7 @@
         terms = {c.name: c for c in classes}
         for seen in world.requests.values():
             if self.narrow:
-                seen.klass = narrower(seen.klass, terms.get(seen.klass.name, seen.klass))
+                seen.klass = restrict_repeats(seen.klass, terms.get(seen.klass.name, seen.klass))
 
     @invariant()
     def held_places_mean_what_they_meant(self) -> None:
@@ -440,7 +440,7 @@
             if rng.random() < 0.2:
                 classes.append(replace(classes[n], name=f"n{serial}"))
             new = replace(settings, classes=tuple(classes))
-            record(balancer.on_settings(now, new, rng.choice([None, narrower]), held(balancer)))
+            record(balancer.on_settings(now, new, rng.choice([None, restrict_repeats]), held(balancer)))
     return decided
 
 
@@ -459,18 +459,18 @@
     world = World(make_settings(classes=CLASSES[:2], balancers=1))
     world.announce(ListKind.FULL, *(entry(n) for n in range(3)))
     record = world.balancer.records[0]
-    record.usual, record.mean_cost_hint = 111.0 * MS, 7.0
+    record.mean_latency, record.mean_cost_hint = 111.0 * MS, 7.0
     for server in world.balancer.servers.values():
         server.concurrency_limit = 10.0
     failing = world.balancer.servers[0]
     for n in range(HANG_THRESHOLD + 1):
         rid = f"f{n}"
         request = Request(rid, 0, world.now + S)
-        item = world.balancer.open[rid] = rules.Open(request, record.klass, record, world.now, 1)
+        item = world.balancer.open[rid] = rules.OpenRequest(request, record.klass, record, world.now, 1)
         world.balancer._send(world.now, item, failing)
         ended = AttemptEnd(rid, 0, 0, Outcome.ERROR, 50 * MS, True)
         world.balancer.on_attempt_end(world.now, ended)
-    world.balancer.acts.clear()
+    world.balancer.pending_actions.clear()
     assert (
         record.states[failing].failures == HANG_THRESHOLD + 1
         and record.states[failing].backoff_until > world.now
@@ -484,7 +484,7 @@
     world.balancer.on_settings(world.now, make_settings(classes=(other, CLASSES[1])))
     assert world.balancer.settings.classes == (other, CLASSES[1])
     fresh = world.balancer.records[0]
-    assert (fresh.usual, fresh.mean_cost_hint, fresh.states) == (
+    assert (fresh.mean_latency, fresh.mean_cost_hint, fresh.states) == (
         other.aim * rules.INITIAL_LATENCY_AIM_SHARE,
         0.0,
         {},
@@ -507,12 +507,15 @@
         place = balancer.settings.classes.index(changed(klass, 1))
         assert place == (2 if open_request else 0)
         new = balancer.records[place]
-        assert (new.usual, new.mean_cost_hint) == (old.usual, old.mean_cost_hint)
+        assert (new.mean_latency, new.mean_cost_hint) == (old.mean_latency, old.mean_cost_hint)
         assert {s: replace(state, silent_since=0) for s, state in new.states.items()} == states
         if open_request:
             assert balancer.open[rid].record is old
             world.end(rid, 0, Outcome.OK)
-            assert old.usual != new.usual and sum(state.in_flight for state in new.states.values()) == 0
+            assert (
+                old.mean_latency != new.mean_latency
+                and sum(state.in_flight for state in new.states.values()) == 0
+            )
             old.states[failing].failures += 5
             assert new.states[failing].failures == HANG_THRESHOLD + 1
 
@@ -531,13 +534,13 @@
     balancer.on_settings(world.now, make_settings(classes=(CLASSES[1],)))
     assert balancer.settings.retired == {0}
     balancer.on_settings(world.now, make_settings(classes=(CLASSES[1], changed(klass, 1))))
-    assert balancer.records[0].usual == 111 * MS and balancer.settings.classes[0] == changed(klass, 1)
+    assert balancer.records[0].mean_latency == 111 * MS and balancer.settings.classes[0] == changed(klass, 1)
 
 
 def test_a_request_for_a_retired_class_is_restricted_to_what_both_terms_allow() -> None:
     keyed = CLASSES[3]
     unsafe = replace(keyed, idempotency=Idempotency.UNSAFE)
-    for narrow, sent in ((None, 2), (narrower, 1)):
+    for narrow, sent in ((None, 2), (restrict_repeats, 1)):
         world = World(make_settings(classes=(keyed,), balancers=1))
         world.announce(ListKind.FULL, *(entry(n) for n in range(6)))
         new = make_settings(classes=(unsafe,))
--- a/tests/versions/test_parts.py
+++ b/tests/versions/test_parts.py
@@ -25,7 +25,7 @@
 from dykeshift.versions.terms import bolder, contradicts, live
 from dykeshift.versions.trial import Trial
 from dykeshift.versions.wire import Leaving, Report, Verdict, decode, encode
-from dykeshift.view.wire import Bad, Seal
+from dykeshift.view.wire import DatagramError, Seal
 
 SAFE = share(worded())
 UNSAFE = share(worded(None, {"status-check": {"idempotency": "side_effect"}}, maxAttempts=2))
@@ -161,7 +161,7 @@
     assert force.look(11, 1) == first  # nothing has changed
     stamp = force.look(16, 0, why="cut off")
     assert stamp != first and force.acts.doubtful and force.acts.why == "cut off" and force.since == 16
-    assert word(force.acts, {}).doubtful
+    assert word(force.acts, {}).settings_uncertain
     assert force.look(17, 9) not in (stamp, first)
 
 
@@ -172,7 +172,7 @@
     unsafe = Own(worded()).read(UNSAFE)
     assert bolder(force.acts.settings, unsafe) == [] and force.acts.settings.attempt_limit == 2
     assert force.acts.out == {"s5"} and force.acts.wary == {"s4"}
-    assert word(force.acts, {"s4": 4, "s5": 5}).out == {4}  # s5 is passed as a ban
+    assert word(force.acts, {"s4": 4, "s5": 5}).excluded_servers == {4}  # s5 is passed as a ban
     pending = effective_state(config_store(*COMMITTED, proposal()))
     pending.look(1, 0)
     assert bolder(pending.acts.settings, unsafe) == []
@@ -426,7 +426,7 @@
     assert len(data) <= 256
     expected = replace(message, reason=message.reason[:150]) if isinstance(message, Report) else message
     assert decode(data, SEAL) == expected
-    with pytest.raises(Bad):
+    with pytest.raises(DatagramError):
         decode(data, Seal("fleet", b"other"))
 
 
@@ -434,10 +434,10 @@
 @given(st.binary(max_size=256), st.sampled_from([64, 65, 66]))
 def test_decoding_any_bytes_gives_a_message_or_raises_bad(rest: bytes, kind: int) -> None:
     body = bytes((1, kind)) + SEAL.tag.to_bytes(2, "big") + rest[:244]
-    for data in (rest, body + SEAL.of(body)):
+    for data in (rest, body + SEAL.mac(body)):
         try:
             found = decode(data, SEAL)
-        except Bad:
+        except DatagramError:
             continue
         assert decode(encode(found, SEAL), SEAL) == found
 
--- a/tests/versions/test_terms.py
+++ b/tests/versions/test_terms.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import rule, run_state_machine_as_test
 
-from dykeshift.interface import Idempotency, ListKind, RequestClass, Scope, Settings, Word
+from dykeshift.interface import Idempotency, ListKind, RequestClass, Scope, Settings, FleetAgreement
 from dykeshift.rules import Balancer
 from dykeshift.versions.terms import (
     FREE,
@@ -148,7 +148,11 @@
 
     @rule(doubtful=st.booleans(), out=st.sets(st.integers(0, 5), max_size=2))
     def word(self, doubtful: bool, out: set[int]) -> None:
-        self.world.play(self.world.balancer.on_word(self.world.now, Word(frozenset(out), doubtful=doubtful)))
+        self.world.play(
+            self.world.balancer.on_fleet_agreement(
+                self.world.now, FleetAgreement(frozenset(out), settings_uncertain=doubtful)
+            )
+        )
 
 
 class JointBySecond(Joint):
--- a/tests/view/test_view.py
+++ b/tests/view/test_view.py
@@ -8,7 +8,7 @@
 
 from dykeshift.rig.virtual import SECOND, Spot, World
 from dykeshift.view.core import Event
-from dykeshift.view.table import WORD
+from dykeshift.view.table import REFUTATION_BITS
 from dykeshift.view.wire import Kind, Message, Seal, State, decode, encode
 from tests.view.world import (
     SHORT_LEASE,
@@ -43,7 +43,7 @@
     )  # longer than any lease; three of ten can't know that the other seven do not go on elsewhere
     for spot in world.spots[:3]:
         assert (spot.view.standing.at_least, spot.view.standing.at_most) == (3, 10)
-        assert not spot.view.standing.holds
+        assert not spot.view.standing.holds_lease
     for spot in world.spots[3:]:
         world.start(spot)
     wait_until_settled(world)
@@ -99,7 +99,7 @@
     world.groups = [frozenset((0,)), frozenset(range(1, 6))]  # after the stall it reaches nobody
     world.resume(stalled)
     world.run(3)
-    assert not stalled.view.standing.holds and stalled.view.standing.at_least == 1
+    assert not stalled.view.standing.holds_lease and stalled.view.standing.at_least == 1
     suspicions = [e for m in sent for e in m.entries if e.state is not State.ALIVE and e.name != "n0"]
     assert suspicions == []
     world.groups = []
@@ -163,7 +163,7 @@
     world.tap = lambda a, b, data: sent.append(decode(data, world.seal)) if a.number == 0 else None
     world.run(60)
     assert not [e for m in sent for e in m.entries if e.state is not State.ALIVE and e.name != "n0"]
-    assert not world.spots[0].view.standing.holds
+    assert not world.spots[0].view.standing.holds_lease
     others = world.spots[1:]
     assert {states(s)[f"n{n}"] for s in others for n in range(1, 6) if s.number != n} == {State.ALIVE}
     world.blocked = set()
@@ -254,7 +254,9 @@
     def twin(spot: Spot, life: int) -> object:
         view = make(spot, life)
         if spot.number == 5:
-            view.me = type(view.me)("n1", life << WORD, view.me.birth, number=5, tier=6, settings=1)
+            view.me = type(view.me)(
+                "n1", life << REFUTATION_BITS, view.me.birth, number=5, peer_count=6, settings=1
+            )
         return view
 
     world.make = twin
@@ -285,7 +287,9 @@
         peers = world.rng.sample(world.peers, 7 if spot.number else 4)
         view.peers = view.bounds.peers = tuple(peers)
         view.bounds.own = None
-        view.me = type(view.me)(view.me.name, life << WORD, view.me.birth, tier=len(peers), settings=1)
+        view.me = type(view.me)(
+            view.me.name, life << REFUTATION_BITS, view.me.birth, peer_count=len(peers), settings=1
+        )
         return view
 
     world.make = make
--- a/tests/view/world.py
+++ b/tests/view/world.py
@@ -26,7 +26,9 @@
         standing = view.standing
         if standing.at_most < len(world.spots):
             holders = {
-                s.view.me.name for s in world.spots if s.alive and not s.stopped and s.view.standing.holds
+                s.view.me.name
+                for s in world.spots
+                if s.alive and not s.stopped and s.view.standing.holds_lease
             }
             if standing.at_most < len(holders):
                 self._report(spot, f"at most {standing.at_most}, {len(holders)} hold the lease")
@@ -41,7 +43,9 @@
                 self._report(spot, f"at least {standing.at_least}, {len(recent)} ran lately")
         age = (world.now - spot.born) / SECOND
         datagrams, size = view.budget.sent
-        if datagrams > world.options.datagrams * (age + 1.1) or size > world.options.size * (age + 1.1):
+        if datagrams > world.options.datagrams_per_second * (
+            age + 1.1
+        ) or size > world.options.bytes_per_second * (age + 1.1):
             self._report(spot, f"{datagrams} datagrams and {size} bytes in {age:.1f} s")
 
     def _report(self, spot: Spot, what: str) -> None:
