--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -27,7 +27,7 @@
 from dykeshift.rig.virtual import SECOND
 from dykeshift.rules import Balancer
 from dykeshift.versions.changes import Propose
-from dykeshift.versions.own import share
+from dykeshift.versions.own import shared_part
 
 
 def _day(task: tuple[str, int, tuple[int, ...]]) -> Found:
@@ -88,11 +88,11 @@
         )
     ):
         began, number = day.now, seed % members
-        text = share(wanted).encode()
-        while day.phase(number) is None and day.spots[number].view.ruled.book.pages.version <= n * 3:
+        text = shared_part(wanted).encode()
+        while day.phase(number) is None and day.spots[number].view.ruled.store.state.version <= n * 3:
             day.order(number, Propose(msgspec.Raw(text)))
             day.run(3, lambda number=number: day.phase(number) is not None)  # type: ignore[misc]
-        version = day.spots[number].view.ruled.book.pages.pending.rules.version
+        version = day.spots[number].view.ruled.store.state.pending.rules.version
         done = day.run(180, lambda version=version: day.in_force(version))  # type: ignore[misc]
         took.append((day.now - began) / SECOND if done else 180.0)
         day.run(5)
--- a/dykeshift/cli/settings.py
+++ b/dykeshift/cli/settings.py
@@ -109,24 +109,27 @@
 @JSON
 def diff(at: str, file: str, as_json: bool) -> int:
     """What FILE would change of what is in force there, field by field. 1 where anything is guarded."""
-    from dykeshift.versions.own import Own
-    from dykeshift.versions.terms import CLASS, FREE, SETTINGS, differences, live
+    from dykeshift.versions.own import LocalSettings
+    from dykeshift.versions.terms import CLASS, FREE, SETTINGS, differences, active_classes
 
     told = ask(at, "/settings/rules")
     raw = told["in_force"]["settings"] or told["file"]
     mine = {"az": 0, "discovery": "ask"}
     try:
-        old, new = Own({**raw, **mine}).settings, Own({**_read(file), **mine}).settings
+        old, new = LocalSettings({**raw, **mine}).settings, LocalSettings({**_read(file), **mine}).settings
     except Exception as exc:
         raise Usage(f"lifttrail settings: {file}: {exc}") from None
     guarded, free = differences(old, new), differences(old, new, FREE)
-    names = {"gone": sorted(set(live(old)) - set(live(new))), "new": sorted(set(live(new)) - set(live(old)))}
+    names = {
+        "gone": sorted(set(active_classes(old)) - set(active_classes(new))),
+        "new": sorted(set(active_classes(new)) - set(active_classes(old))),
+    }
     if as_json:
         print(json.dumps({"guarded": guarded, "free": free, **names}))
     else:
         for name in guarded:
             term = CLASS.get(name.partition(".")[2]) or SETTINGS[name]
-            print(f"{name}: goes through the middle: {term.why}")
+            print(f"{name}: goes through the middle: {term.explanation}")
         for name in free:
             print(f"{name}: at once")
         for how, some in names.items():
--- a/dykeshift/configuration/translate.py
+++ b/dykeshift/configuration/translate.py
@@ -24,7 +24,7 @@
 from dykeshift.configuration.transactions import Put
 from dykeshift.interface import Settings
 from dykeshift.settings import parse_settings
-from dykeshift.versions.book import Pages
+from dykeshift.versions.book import StoreState
 
 SettingsDict = dict[str, Any]
 OWN_SETTINGS_PLACEHOLDER: SettingsDict = {"discovery": ""}  # the local keys that the settings parser requires
@@ -126,7 +126,7 @@
     return parse_settings({**OWN_SETTINGS_PLACEHOLDER, **words_of(service, classes), **(own or {})})
 
 
-def puts_of_lists(pages: Pages, service: str) -> tuple[Put, ...]:
+def puts_of_lists(pages: StoreState, service: str) -> tuple[Put, ...]:
     """The bans and list words in the state of `dykeshift.versions`, which describes one service."""
     puts = [
         Put(ban_key(service, server), encode_body(Ban(service, server, out.by)))
--- a/dykeshift/node/fleet_calls.py
+++ b/dykeshift/node/fleet_calls.py
@@ -17,8 +17,8 @@
 from dykeshift.versions.book import Pending, Rules
 from dykeshift.versions.changes import Change, Halt, Lists, Propose, Unban, pack
 from dykeshift.versions.checks import ban_objection
-from dykeshift.versions.own import share
-from dykeshift.versions.terms import differences, live
+from dykeshift.versions.own import shared_part
+from dykeshift.versions.terms import differences, active_classes
 
 if TYPE_CHECKING:
     from dykeshift.node.features import ConsoleCalls
@@ -60,18 +60,18 @@
         """The version in force, since when and why; part of `GET /fleet` too."""
         service = self.service
         service.rules_stamp()
-        force, acts = service.core.force, service.core.acts
+        force, acts = service.core.effective_settings, service.core.effective
         return {
             "mode": acts.mode,
             "version": acts.version,
-            "book": service.core.book.pages.version,
+            "book": service.core.store.state.version,
             "since_s": round((service.now() - force.since) / 1e9, 3),
-            "why": acts.why,
+            "why": acts.degraded_reason,
         }
 
     def status(self) -> bytes:
         """The answer to `GET /settings`."""
-        service, pages = self.service, self.service.core.book.pages
+        service, pages = self.service, self.service.core.store.state
         options = service.core.options
         shared = service.agree.core.shared
         from dykeshift.node.versions import timing_bounds
@@ -82,14 +82,14 @@
             **self.in_force(),
             "history": f"{shared.epoch[0]:08x}",
             "epoch": shared.epoch[1],
-            "digest": hashlib.blake2s(service.core.book.snapshot(), digest_size=8).hexdigest(),
-            "stamp": service.core.force.stamp,
+            "digest": hashlib.blake2s(service.core.store.snapshot(), digest_size=8).hexdigest(),
+            "stamp": service.core.effective_settings.stamp,
             "by": pages.rules.by,
             **timing_bounds(service.options, options.lease / 1e9, options.drift),
             "leader": service.core.history.leader(),
             "pending": self._pending(pages.pending),
             "out": msgspec.to_builtins(pages.out),
-            "out_here": sorted(service.core.wanted),
+            "out_here": sorted(service.core.uncommitted_bans),
             "preferred": pages.preferred,
             "closed": pages.closed,
             "wary": pages.wary,
@@ -98,7 +98,7 @@
             "ignored": service.core.lists.ignored,
             "outcomes": msgspec.to_builtins(pages.outcomes),
             "file": service.file_difference,
-            "strange": service.core.book.strange,
+            "strange": service.core.store.unknown_entries,
             "dropped": service.core.dropped,
         }
         return _json(reply)
@@ -106,7 +106,7 @@
     def _pending(self, pending: Pending | None) -> dict[str, Any] | None:
         if pending is None:
             return None
-        own, pages = self.service.core.own, self.service.core.book.pages
+        own, pages = self.service.core.local_settings, self.service.core.store.state
         try:
             current = own.read(pages.rules.settings)
             changed = differences(current, own.read(pending.rules.settings))
@@ -125,19 +125,19 @@
 
     def rules(self) -> bytes:
         """The answer to `GET /settings/rules`: settings in force, pending ones, and those of the own file."""
-        pages = self.service.core.book.pages
+        pages = self.service.core.store.state
         pending = pages.pending.rules if pages.pending is not None else None
         return _json(
             {
                 "in_force": _rules_json(pages.rules),
                 "comes": _rules_json(pending) if pending else None,
-                "file": json.loads(self.service.core.own.shared),
+                "file": json.loads(self.service.core.local_settings.shared),
             }
         )
 
     def history(self) -> bytes:
         """The answer to `GET /settings/history`."""
-        pages = self.service.core.book.pages
+        pages = self.service.core.store.state
         return _json(
             {
                 "rules": [_rules_json(r) for r in (pages.rules, *pages.past)],
@@ -171,17 +171,17 @@
                 "reason": m.report.reason,
                 "answers": m.report.answers,
                 "bad": m.report.bad,
-                "ago_s": round((now - m.at) / 1e9, 3),
+                "ago_s": round((now - m.received_at) / 1e9, 3),
             }
-            for number, m in sorted(core.guide.members.items())
+            for number, m in sorted(core.rollout.members.items())
         ]
         done(
             200,
             _json(
                 {
                     "members": rows,
-                    "alive": sorted(core.history.facts().alive),
-                    "evidence": round(core.guide.trial.evidence, 3),
+                    "alive": sorted(core.history.status().alive),
+                    "evidence": round(core.rollout.trial.evidence, 3),
                 }
             ),
         )
@@ -216,7 +216,7 @@
         return call
 
     def _commit(self, change: Change, done: Done) -> None:
-        service, book = self.service, self.service.core.book
+        service, book = self.service, self.service.core.store
         why = book.objection(change)
         if why:
             done(409, _json({"reason": why}))
@@ -231,15 +231,15 @@
 
         number: int = service.core.rng.getrandbits(64) or 1
         service.agree.runner.propose(
-            pack(change), book.pages.version, int(CALL_TIMEOUT_S * 1e9), number, answered
+            pack(change), book.state.version, int(CALL_TIMEOUT_S * 1e9), number, answered
         )
 
     def _proposal(self, request: dict[str, Any]) -> Change:
         raw = request.get("settings")
         if not isinstance(raw, dict):
             raise ValueError('the body must be an object with "settings", an object')
-        text = share(raw)
-        self.service.core.own.read(text)  # settings that are not valid are not proposed
+        text = shared_part(raw)
+        self.service.core.local_settings.read(text)  # settings that are not valid are not proposed
         stages = request.get("stages", [])
         fleet_size = len(self.service.agree.core.shared.places)
         if not isinstance(stages, list) or any(
@@ -256,7 +256,7 @@
 
     def _rollback(self, request: dict[str, Any]) -> Change:
         version = request.get("version")
-        found = self.service.core.book.find(version) if isinstance(version, int) else None
+        found = self.service.core.store.find(version) if isinstance(version, int) else None
         if found is None:
             raise No(f"version {version} is not among those that are kept")
         return Propose(
@@ -264,14 +264,14 @@
         )
 
     def _halt(self, request: dict[str, Any]) -> Change:
-        pending = self.service.core.book.pages.pending
+        pending = self.service.core.store.state.pending
         if pending is None:
             raise No("no change is pending")
         return Halt(pending.rules.version, str(request.get("reason") or "by hand")[:200])
 
     def _lists(self, request: dict[str, Any]) -> Change:
         change = msgspec.convert({"do": "lists", **request}, Lists)
-        classes = set(live(self.service.core.acts.settings))
+        classes = set(active_classes(self.service.core.effective.settings))
         unknown = sorted(set(change.closed or ()) - classes)
         if unknown:
             raise No(f"there is no class {unknown[0]}; there are {', '.join(sorted(classes))}")
@@ -298,10 +298,10 @@
         )
         if not name:
             return
-        out = {instance_number(n) for n in service.core.book.pages.out}
+        out = {instance_number(n) for n in service.core.store.state.out}
         out |= service.host.driver.pool.banned
         why = ban_objection(instance_number(name), frozenset(out), service.observe())
-        known = name in service.core.book.pages.out
+        known = name in service.core.store.state.out
         try:
             if why and not known:
                 done(409, _json({"reason": why}))
@@ -317,7 +317,7 @@
 
     def _await_ban(self, name: str, until: int, done: Done) -> None:
         """Answer once the ban is committed, or when the time for an answer is over."""
-        known = name in self.service.core.book.pages.out
+        known = name in self.service.core.store.state.out
         if known or self.service.now() >= until:
             done(200, _json({"here": True, "fleet": known}))
         else:
@@ -338,8 +338,11 @@
             return
 
         def on_read(version: int | None) -> None:
-            here = name in service.core.wanted or instance_number(name) in service.host.driver.pool.banned
-            if name in service.core.book.pages.out:
+            here = (
+                name in service.core.uncommitted_bans
+                or instance_number(name) in service.host.driver.pool.banned
+            )
+            if name in service.core.store.state.out:
                 service.core.unban(name)
                 self._commit(Unban(name, service.host.configuration.name), done)
             elif version is None and not here:
@@ -356,7 +359,7 @@
                     ),
                 )
 
-        if name in service.core.book.pages.out:
+        if name in service.core.store.state.out:
             on_read(None)
         else:
             service.agree.runner.read(int(CALL_TIMEOUT_S * 1e9), on_read)
--- a/dykeshift/node/versions.py
+++ b/dykeshift/node/versions.py
@@ -17,16 +17,16 @@
 from dykeshift.node.fleet_calls import FleetCalls
 from dykeshift.node.defaults import PassiveService, carrier, connections, objection
 from dykeshift.settings import SettingsError
-from dykeshift.versions.book import Book
+from dykeshift.versions.book import VersionStore
 from dykeshift.versions.changes import Change, Propose, pack
-from dykeshift.versions.checks import Sight
+from dykeshift.versions.checks import LocalObservations
 from dykeshift.versions.core import Versions
 from dykeshift.versions.core import Options as CoreOptions
-from dykeshift.versions.force import word
-from dykeshift.versions.link import Link
-from dykeshift.versions.own import Own, share
-from dykeshift.versions.terms import live
-from dykeshift.versions.wire import encode, is_ours
+from dykeshift.versions.force import fleet_agreement
+from dykeshift.versions.link import AgreeLog
+from dykeshift.versions.own import LocalSettings, shared_part
+from dykeshift.versions.terms import active_classes
+from dykeshift.versions.wire import encode, is_versions_datagram
 from dykeshift.view.wire import UNNUMBERED
 
 if TYPE_CHECKING:
@@ -86,7 +86,7 @@
 
 def prepare(options: Options, host: Host) -> None:
     """Register the state machine of `[versions]` for the log of `[agree]`, which starts first."""
-    host.services["machine"] = Book()
+    host.services["machine"] = VersionStore()
 
 
 class Service(PassiveService):
@@ -114,7 +114,7 @@
         host.driver.must_hold_clients = self.waits
         self.reload.accept = self.accept_file
         self.agree.listeners.append(self._on_history_event)
-        self.agree.view.port.claims.insert(0, (is_ours, self._on_datagram))
+        self.agree.view.port.claims.insert(0, (is_versions_datagram, self._on_datagram))
         self.agree.view.extra_status["rules"] = self.calls.in_force
         self.calls.register(host.offers)
         host.metrics["versions"] = self.calls.figures
@@ -132,36 +132,41 @@
         or until no other balancer has been reached for STARTUP_WAIT_S.
         """
         waiting = not self.informed and self.now() - self.started_at < STARTUP_WAIT_S * 1e9
-        return waiting and self.core.acts.doubtful
+        return waiting and self.core.effective.degraded
 
     # ---- the check before each send ----
 
     def rules_stamp(self) -> int:
         """Apply a changed state; returns the stamp that decisions are made and checked under."""
-        stamp = self.core.look()
+        stamp = self.core.rules_stamp()
         if stamp != self.applied_stamp:
             self.applied_stamp = stamp
             self._apply()
-        return self.core.force.stamp
+        return self.core.effective_settings.stamp
 
     def _apply(self) -> None:
         """Apply the state that is in force from now on."""
-        acts, driver = self.core.acts, self.host.driver
-        self.informed = self.informed or not acts.doubtful
+        acts, driver = self.core.effective, self.host.driver
+        self.informed = self.informed or not acts.degraded
         if acts.settings != self.settings:
             self.settings = acts.settings
-            self.reload.apply(acts.settings, self.core.force.forms(), narrow=True)
+            self.reload.apply(acts.settings, self.core.effective_settings.accepted_idempotency(), narrow=True)
         else:
             current = driver.balancer.settings
-            self.reload.reader.set_classes(current.classes, current.retired, self.core.force.forms())
-        self._apply_bans(acts.out)
+            self.reload.reader.set_classes(
+                current.classes, current.retired, self.core.effective_settings.accepted_idempotency()
+            )
+        self._apply_bans(acts.banned)
         self._apply_word()
-        level, why = (logging.WARNING if acts.doubtful else logging.INFO), f": {acts.why}" * bool(acts.why)
+        level, why = (
+            (logging.WARNING if acts.degraded else logging.INFO),
+            f": {acts.degraded_reason}" * bool(acts.degraded_reason),
+        )
         fields = {
             "version": acts.version,
             "mode": acts.mode,
-            "why": acts.why,
-            "book": self.core.book.pages.version,
+            "why": acts.degraded_reason,
+            "book": self.core.store.state.version,
         }
         log.log(
             level,
@@ -185,16 +190,18 @@
                 driver.end_ban(instance_number(name))
 
     def _apply_word(self) -> None:
-        acts = self.core.acts
+        acts = self.core.effective
         names = acts.wary | acts.preferred
-        self.host.driver.take_word(word(acts, {n: instance_number(n) for n in names}, self.leaving))
+        self.host.driver.take_word(
+            fleet_agreement(acts, {n: instance_number(n) for n in names}, self.leaving)
+        )
 
     # ---- the replicated log ----
 
     def _on_history_event(self, event: Event) -> None:
         if event.kind in ("committed", "installed", "fenced", "founded", "lost"):
             if event.kind != "committed":
-                self.core.force.reread()
+                self.core.effective_settings.invalidate()
             self.rules_stamp()
 
     def _on_datagram(self, data: bytes, address: Any) -> None:
@@ -218,9 +225,9 @@
                 if number in addresses
             ]
         )
-        for note in self.core.notes:
+        for note in self.core.warnings:
             log.warning("%s", note, extra={"event": "versions.lists", "fields": {"text": note}})
-        self.core.notes.clear()
+        self.core.warnings.clear()
         if change is not None and not self.proposing:
             self._propose(change)
 
@@ -231,7 +238,7 @@
             self.proposing = False
 
         self.agree.runner.propose(
-            pack(change), self.core.book.pages.version, int(COMMIT_TIMEOUT_S * 1e9), None, on_answer
+            pack(change), self.core.store.state.version, int(COMMIT_TIMEOUT_S * 1e9), None, on_answer
         )
 
     # ---- what this balancer observes ----
@@ -247,22 +254,22 @@
         running = frozenset(n for n, u in upstreams.items() if u.listed_ready)
         if self.options.list_s:
             now = self.now()
-            self.core.lists.on_own(now, discovery.generation, running, frozenset(upstreams))
-            leaving = self.core.lists.out(now)
+            self.core.lists.on_own_list(now, discovery.generation, running, frozenset(upstreams))
+            leaving = self.core.lists.avoided(now)
             if leaving != self.leaving:
                 self.leaving = leaving
-                self.core.force.stamp += 1  # sends that were decided before are no longer made
+                self.core.effective_settings.stamp += 1  # sends that were decided before are no longer made
 
-    def observe(self) -> Sight:
+    def observe(self) -> LocalObservations:
         """What this balancer observes and reports: servers, load, usual durations, membership."""
         driver, balancer = self.host.driver, self.host.driver.balancer
-        tiers, classes = driver.ledger.class_counts, live(balancer.settings)
+        tiers, classes = driver.ledger.class_counts, active_classes(balancer.settings)
         usual = {
             c.name: balancer.records[n].mean_latency
             for n, c in enumerate(balancer.settings.classes)
             if c.name in classes and tiers[c.name].success >= MIN_ANSWERS
         }
-        return Sight(
+        return LocalObservations(
             frozenset(n for n, u in driver.pool.upstreams.items() if u.listed_ready),
             {name: tier.inflight for name, tier in tiers.items()},
             usual,
@@ -287,11 +294,11 @@
         if same:
             self.file_difference = ""
             return True
-        version = self.core.book.pages.rules.version
+        version = self.core.store.state.rules.version
         if self.options.hup == "propose" and raw is not None:
             self.file_difference = f"the file differs from version {version}: proposed"
             self._propose(
-                Propose(msgspec.Raw(share(raw).encode()), by=f"file of {self.host.configuration.name}")
+                Propose(msgspec.Raw(shared_part(raw).encode()), by=f"file of {self.host.configuration.name}")
             )
         else:
             self.file_difference = f"the file differs from version {version}, which stays in force"
@@ -315,7 +322,7 @@
     if view.me.number == UNNUMBERED:
         raise ConfigError("[versions] requires this balancer to be one of its configured peers")
     try:
-        own = Own(host.configuration.peering.settings)
+        own = LocalSettings(host.configuration.peering.settings)
     except SettingsError as exc:
         raise ConfigError(f"[versions] {exc}") from None
     second = 1_000_000_000
@@ -330,7 +337,7 @@
         int(5 * options.report_s * second),
         int(options.list_s * second),
     )
-    link = Link(agree.core, host.clock.monotonic_ns)
+    link = AgreeLog(agree.core, host.clock.monotonic_ns)
     service: list[Service] = []
     core = Versions(
         core_options,
--- a/dykeshift/rig/lent.py
+++ b/dykeshift/rig/lent.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from dykeshift.rig.virtual import SECOND, Spot, World
-from dykeshift.shares.loans import Shares, Terms
+from dykeshift.shares.loans import LeaseAllocator, LeaseTerms
 from dykeshift.shares.wire import decode, encode
 from dykeshift.view.wire import DatagramError
 
@@ -37,7 +37,7 @@
         """Its deeds are as they are agreed on now, before it does anything: it has a lease on that, or
         none."""
         for limit in LIMITS:
-            self.shares.on_deed(now, limit, self.world.deed(limit))
+            self.shares.on_allocation(now, limit, self.world.deed(limit))
 
     def on_timer(self, now: int) -> list[Any]:
         """Ask for what is needed, and send what the core wants to send."""
@@ -86,9 +86,9 @@
 class Lent(World):
     """A world of balancers that lend one another parts of two limits."""
 
-    def __init__(self, seed: object, count: int, terms: Terms | None = None, rate: float = 0.01) -> None:
+    def __init__(self, seed: object, count: int, terms: LeaseTerms | None = None, rate: float = 0.01) -> None:
         super().__init__(f"lent/{seed}", count, make=lambda spot, life: Lender(self, spot))
-        self.terms = terms or Terms(lease=2 * SECOND)
+        self.terms = terms or LeaseTerms(lease=2 * SECOND)
         self.draw = Random(f"needs/{seed}")
         for spot in self.spots:
             spot.rate = 1 + self.draw.uniform(-rate, rate)
@@ -99,9 +99,9 @@
         self.watch = self._check
         self.sums = [0.0, 0.0, 0.0]  # of what could be used, of the plain parts, of what was needed
 
-    def build(self, spot: Spot) -> Shares:
+    def build(self, spot: Spot) -> LeaseAllocator:
         """The core of a new process."""
-        return Shares(self.terms, spot.number, Random(self.rng.random()))
+        return LeaseAllocator(self.terms, spot.number, Random(self.rng.random()))
 
     def deed(self, limit: int) -> int:
         """Units that each place has of a limit."""
--- a/dykeshift/rig/ruled.py
+++ b/dykeshift/rig/ruled.py
@@ -19,16 +19,16 @@
 from dykeshift.rig.installation import settings
 from dykeshift.rig.virtual import SECOND, Spot
 from dykeshift.settings import SettingsError
-from dykeshift.versions.book import Book, Phase
+from dykeshift.versions.book import VersionStore, Phase
 from dykeshift.versions.changes import Change, pack
-from dykeshift.versions.checks import Sight
+from dykeshift.versions.checks import LocalObservations
 from dykeshift.versions.core import Versions
 from dykeshift.versions.core import Options as Terms
-from dykeshift.versions.force import Acts
-from dykeshift.versions.link import Link
-from dykeshift.versions.own import Own, share
-from dykeshift.versions.terms import bolder, contradicts
-from dykeshift.versions.wire import encode, is_ours
+from dykeshift.versions.force import EffectiveSettings
+from dykeshift.versions.link import AgreeLog
+from dykeshift.versions.own import LocalSettings, shared_part
+from dykeshift.versions.terms import more_permissive, contradicts
+from dykeshift.versions.wire import encode, is_versions_datagram
 
 TICK = SECOND // 5
 CLOSE = 0.02  # seconds between two looks at all while two contradict one another
@@ -57,7 +57,7 @@
         },
         "sms-send": {"worth": random.choice((1.0, 3.0))},
     }
-    return share(
+    return shared_part(
         worded(
             {"balancers": random.choice((200, 300))},
             kinds,
@@ -76,13 +76,13 @@
         self.proposing: int | None = None
         self.no = world.stubborn.get(spot.number, "")  # why it can't act on proposals
         machine = self.machine
-        assert isinstance(machine, Book)
+        assert isinstance(machine, VersionStore)
         raw = {**worded({"balancers": 200}), "az": spot.number % 2, "me": spot.number}
-        self.ruled = world.versions(self, Own(raw), machine, random)
+        self.ruled = world.versions(self, LocalSettings(raw), machine, random)
 
-    def sight(self) -> Sight:
+    def sight(self) -> LocalObservations:
         """What the process sees when it checks a proposal; one that objects has too many at work."""
-        return Sight(at_work=300 if self.no else 1)
+        return LocalObservations(active_balancers=300 if self.no else 1)
 
     # ---- time and datagrams ----
 
@@ -93,7 +93,7 @@
 
     def _tick(self, now: int) -> Out:
         self.tick_at = now + TICK
-        bad = self.world.bad_share(self.ruled.acts)  # type: ignore[attr-defined]
+        bad = self.world.bad_share(self.ruled.effective)  # type: ignore[attr-defined]
         done, wrong = self.ruled.answers
         some = SEEN // 5
         self.ruled.answers = (
@@ -108,13 +108,13 @@
         return out
 
     def _propose(self, now: int, change: Change) -> Out:
-        version = self.ruled.book.pages.version
+        version = self.ruled.store.state.version
         self.proposing, out = self.core.propose(now, pack(change), version, 2 * SECOND)
         return self._through(out)
 
     def on_datagram(self, now: int, data: bytes, address: Any) -> Out:
         """Hand a datagram to the versions or to the agreement."""
-        if is_ours(data):
+        if is_versions_datagram(data):
             self.ruled.on_datagram(now, data, self.core.shared.seal)
             return []
         return super().on_datagram(now, data, address)
@@ -145,7 +145,7 @@
     ) -> None:
         self.stubborn: dict[int, str] = {}
         self.harmful: set[int] = set()  # versions under which answers are bad
-        self.acting: dict[int, Acts] = {}
+        self.acting: dict[int, EffectiveSettings] = {}
         self.conflicts: dict[str, Conflict] = {}
         self.longest: Counter[str] = Counter()
         self.spans: list[float] = []
@@ -155,11 +155,11 @@
         self.rules = terms or Terms(
             self.terms.lease,
             self.terms.drift,
-            check=4 * SECOND,
-            stage=2 * SECOND,
-            patience=20 * SECOND,
-            report=SECOND // 2,
-            quiet=2 * SECOND,
+            check_timeout=4 * SECOND,
+            stage_time=2 * SECOND,
+            stage_timeout=20 * SECOND,
+            report_interval=SECOND // 2,
+            idle_report_interval=2 * SECOND,
         )
         self.operator = Random(f"operators/{seed}")
         self.done: Counter[str] = Counter()
@@ -167,12 +167,12 @@
 
     def machine(self) -> Machine:
         """The book of versions."""
-        return Book()
+        return VersionStore()
 
     def _peer(self, spot: Spot, life: int) -> Any:
         return RuledPeer(self, spot, Random(self.rng.random()))
 
-    def versions(self, peer: RuledPeer, own: Own, book: Book, random: Random) -> Versions:
+    def versions(self, peer: RuledPeer, own: LocalSettings, book: VersionStore, random: Random) -> Versions:
         """The versions of a new process, on top of its agreement."""
         core, spot = peer.core, peer.spot
         return Versions(
@@ -181,13 +181,13 @@
             book,
             spot.number,
             core.shared.birth,
-            Link(core, spot.clock),
+            AgreeLog(core, spot.clock),
             spot.clock,
             peer.sight,
             random,
         )
 
-    def bad_share(self, acts: Acts) -> float:
+    def bad_share(self, acts: EffectiveSettings) -> float:
         """Share of bad answers of a process that acts on this."""
         return 0.2 if acts.version in self.harmful and acts.mode == "in force" else 0.0
 
@@ -201,9 +201,9 @@
     def order(self, number: int, change: Change) -> str:
         """Through that balancer; why it was not even proposed, else empty."""
         peer = self.spots[number].view
-        why: str = peer.ruled.book.objection(change)
+        why: str = peer.ruled.store.objection(change)
         if not why:
-            self.propose(number, pack(change), peer.ruled.book.pages.version)
+            self.propose(number, pack(change), peer.ruled.store.state.version)
         return why
 
     def _collect(self, spot: Spot) -> None:
@@ -228,40 +228,40 @@
         before = self.acting.get(spot.number)
         if acts != before:
             self.acting[spot.number] = acts
-            self.doubts += acts.doubtful and before is not None and not before.doubtful
+            self.doubts += acts.degraded and before is not None and not before.degraded
             self._check_doubt(spot, acts)
             self._look_round()
 
-    def _look(self, peer: RuledPeer) -> Acts:
-        peer.ruled.look()
-        return peer.ruled.acts
+    def _look(self, peer: RuledPeer) -> EffectiveSettings:
+        peer.ruled.rules_stamp()
+        return peer.ruled.effective
 
-    def _check_doubt(self, spot: Spot, acts: Acts) -> None:
+    def _check_doubt(self, spot: Spot, acts: EffectiveSettings) -> None:
         """In doubt never bolder than what it knows to be in force."""
-        if not acts.doubtful:
+        if not acts.degraded:
             return
-        own, pages = spot.view.ruled.own, spot.view.ruled.book.pages
+        own, pages = spot.view.ruled.local_settings, spot.view.ruled.store.state
         try:
             held = own.read(pages.rules.settings)
         except SettingsError:
             return
-        for what in bolder(acts.settings, held):
+        for what in more_permissive(acts.settings, held):
             self.say(spot, f"in doubt it is bolder than version {pages.rules.version}: {what}")
 
     def _look_round(self) -> None:
         """All that are awake, at this instant."""
         self.looking = True
-        bold: dict[int, tuple[int, Acts]] = {}  # by version, somebody who acts on all of it
+        bold: dict[int, tuple[int, EffectiveSettings]] = {}  # by version, somebody who acts on all of it
         out: dict[str, int] = {}  # servers that are out, and for whom
-        acting: list[tuple[int, Acts]] = []
+        acting: list[tuple[int, EffectiveSettings]] = []
         for spot in self.up():
             acts = self._look(spot.view)
             self.acting[spot.number] = acts
             acting.append((spot.number, acts))
             if acts.mode == "in force":
                 bold.setdefault(acts.version, (spot.number, acts))
-            if not acts.doubtful:
-                out |= dict.fromkeys(acts.out, spot.number)
+            if not acts.degraded:
+                out |= dict.fromkeys(acts.banned, spot.number)
         self.looking = False
         found = dict[str, str]()
         versions = sorted(bold)
@@ -270,12 +270,12 @@
                 if one and self._contradict(one, other, bold[one][1], bold[other][1]):
                     found["settings"] = f"{bold[one][0]} acts on {one}, {bold[other][0]} on {other}"
         for server, by in out.items():
-            late = [n for n, a in acting if server not in a.out and not a.doubtful]
+            late = [n for n, a in acting if server not in a.banned and not a.degraded]
             if late:
                 found[f"ban {server}"] = f"{late[0]} sends to {server}, which is out at {by}"
         self._note(found)
 
-    def _contradict(self, one: int, other: int, a: Acts, b: Acts) -> bool:
+    def _contradict(self, one: int, other: int, a: EffectiveSettings, b: EffectiveSettings) -> bool:
         if (one, other) not in self.pairs:
             self.pairs[one, other] = contradicts(a.settings, b.settings)
         return self.pairs[one, other]
@@ -308,9 +308,9 @@
         return (
             len(versions) == 1
             and all(
-                s.view.ruled.acts.mode == "in force"
-                and s.view.ruled.book.pages.pending is None
-                and not s.view.ruled.wanted
+                s.view.ruled.effective.mode == "in force"
+                and s.view.ruled.store.state.pending is None
+                and not s.view.ruled.uncommitted_bans
                 for s in up
             )
             and self.level()
@@ -319,10 +319,11 @@
     def in_force(self, version: int) -> bool:
         """Whether all that are up act on this version."""
         return all(
-            self._look(s.view).mode == "in force" and s.view.ruled.acts.version == version for s in self.up()
+            self._look(s.view).mode == "in force" and s.view.ruled.effective.version == version
+            for s in self.up()
         )
 
     def phase(self, number: int) -> Phase | None:
         """The phase of the change under way, as process `number` knows it; None where there is none."""
-        pending = self.spots[number].view.ruled.book.pages.pending
+        pending = self.spots[number].view.ruled.store.state.pending
         return pending.phase if pending is not None else None
--- a/dykeshift/rig/ruled_baselines.py
+++ b/dykeshift/rig/ruled_baselines.py
@@ -14,8 +14,8 @@
 from dykeshift.rig.ruled import TICK, Ruled, RuledPeer
 from dykeshift.rig.virtual import SECOND, Spot
 from dykeshift.versions.changes import Change, Middle, Force, Propose
-from dykeshift.versions.force import Acts, InForce
-from dykeshift.versions.guide import Facts, Guide
+from dykeshift.versions.force import EffectiveSettings, SettingsTracker
+from dykeshift.versions.guide import LogStatus, RolloutLeader
 
 STEP = 0.2  # seconds that an operator's loop takes for each balancer
 FANOUT = 2
@@ -48,9 +48,9 @@
         self.files[spot.number] = (stamp, text)
         self._look_round()
 
-    def _look(self, peer: RuledPeer) -> Acts:
+    def _look(self, peer: RuledPeer) -> EffectiveSettings:
         stamp, text = self.files[peer.spot.number]
-        return Acts("in force", stamp, peer.ruled.own.read(text))
+        return EffectiveSettings("in force", stamp, peer.ruled.local_settings.read(text))
 
     def at_rest(self) -> bool:
         """There is nothing that would come to rest by itself."""
@@ -91,12 +91,12 @@
                     self.at(self.now + SECOND // 50, self.take, other, *self.files[spot.number])
 
 
-class Boldly(InForce):
+class Boldly(SettingsTracker):
     """Acts on what it has, with a lease or without."""
 
     def look(self, now: int, lease_left: int, heard: tuple[bytes, ...] = (), why: str = "") -> int:
         """Look as if the lease had time left."""
-        return super().look(now, 1)
+        return super().update(now, 1)
 
 
 class Unleased(Ruled):
@@ -106,14 +106,14 @@
 
     def _peer(self, spot: Spot, life: int) -> Any:
         peer: RuledPeer = super()._peer(spot, life)
-        peer.ruled.force = Boldly(peer.ruled.own, peer.ruled.book, spot.number)
+        peer.ruled.effective_settings = Boldly(peer.ruled.local_settings, peer.ruled.store, spot.number)
         return peer
 
 
-class Blunt(Guide):
+class Blunt(RolloutLeader):
     """Coordinates changes without the joint phase."""
 
-    def next(self, now: int, facts: Facts) -> Change | None:
+    def next(self, now: int, facts: LogStatus) -> Change | None:
         """Put the new version in force where the joint phase would begin."""
         change = super().next(now, facts)
         return Force(change.version) if isinstance(change, Middle) else change
@@ -126,8 +126,8 @@
 
     def _peer(self, spot: Spot, life: int) -> Any:
         peer: RuledPeer = super()._peer(spot, life)
-        guide = peer.ruled.guide
-        peer.ruled.guide = Blunt(guide.options, guide.book, guide.contradicts)
+        guide = peer.ruled.rollout
+        peer.ruled.rollout = Blunt(guide.options, guide.store, guide.contradicts)
         return peer
 
 
--- a/dykeshift/rig/ruled_days.py
+++ b/dykeshift/rig/ruled_days.py
@@ -14,7 +14,7 @@
 from dykeshift.rig.campaign import KINDS, trouble
 from dykeshift.rig.ruled import Ruled, drawn
 from dykeshift.rig.virtual import SECOND
-from dykeshift.versions.book import Pages
+from dykeshift.versions.book import StoreState
 from dykeshift.versions.changes import Change, Halt, Lists, Propose, Unban
 
 SERVERS = ("s0", "s1", "s2", "s3")
@@ -68,7 +68,7 @@
     found.spans, found.longest = day.spans, dict(day.longest)
     found.doubts = day.doubts
     up = day.up()
-    for outcome in up[0].view.ruled.book.pages.outcomes if up else ():
+    for outcome in up[0].view.ruled.store.state.outcomes if up else ():
         found.outcomes[outcome.how] += 1
     return found
 
@@ -85,15 +85,15 @@
     if kind == "ban":
         spot.view.ruled.ban(random.choice(SERVERS))
         return
-    book = spot.view.ruled.book
-    change = _change(day, random, kind, book.pages)
+    book = spot.view.ruled.store
+    change = _change(day, random, kind, book.state)
     if change is not None:
         found.changes[kind if not day.order(spot.number, change) else "turned down here"] += 1
         if kind == "stage" and random.random() < 0.3:
-            day.harmful.add(book.pages.version + 1)
+            day.harmful.add(book.state.version + 1)
 
 
-def _change(day: Ruled, random: Random, kind: str, pages: Pages) -> Change | None:
+def _change(day: Ruled, random: Random, kind: str, pages: StoreState) -> Change | None:
     """The change of that kind; None where there is nothing that it could be about."""
     if kind in ("propose", "stage"):
         stages = ((random.randrange(len(day.spots)),),) if kind == "stage" else ()
@@ -134,9 +134,9 @@
     return [
         (
             s.name,
-            s.view.ruled.acts.mode,
-            s.view.ruled.acts.version,
-            s.view.ruled.book.pages.version,
+            s.view.ruled.effective.mode,
+            s.view.ruled.effective.version,
+            s.view.ruled.store.state.version,
             str(day.phase(s.number)),
         )
         for s in day.up()
--- a/dykeshift/scale/control_costs.py
+++ b/dykeshift/scale/control_costs.py
@@ -24,7 +24,7 @@
 from dykeshift.rig.virtual import MS, SECOND, Spot, World
 from dykeshift.scale.results import ClockKind, Measurement, Point, Role, Situation, program_version, summarise
 from dykeshift.versions.changes import Propose
-from dykeshift.versions.own import share
+from dykeshift.versions.own import shared_part
 from dykeshift.view.core import Options as MembershipOptions
 from dykeshift.view.core import View
 
@@ -105,14 +105,14 @@
 
 def _propose(world: Ruled, asker: int, wanted: dict[str, Any]) -> float:
     """Seconds until it is in force everywhere, from the first try; the limit where it is not by then."""
-    began, pages = world.now, world.spots[asker].view.ruled.book.pages
-    text = msgspec.Raw(share(wanted).encode())
+    began, pages = world.now, world.spots[asker].view.ruled.store.state
+    text = msgspec.Raw(shared_part(wanted).encode())
     while world.phase(asker) is None:
         if (world.now - began) / SECOND >= CHANGE_LIMIT:
             return CHANGE_LIMIT
         world.order(asker, Propose(text))
         world.run(3, lambda: world.phase(asker) is not None)
-    version = world.spots[asker].view.ruled.book.pages.pending.rules.version
+    version = world.spots[asker].view.ruled.store.state.pending.rules.version
     assert version > pages.version - 1
     done = world.run(CHANGE_LIMIT, lambda: world.in_force(version))
     world.run(0.2)
--- a/dykeshift/scale/membership.py
+++ b/dykeshift/scale/membership.py
@@ -20,7 +20,7 @@
 from dykeshift.node.assembly import assemble
 from dykeshift.rig.installation import settings
 from dykeshift.scale.role import Answered, Life, MemberState, Role, Roster
-from dykeshift.versions.own import share
+from dykeshift.versions.own import shared_part
 from dykeshift.view.wire import Entry
 
 HISTORY = 0x5CA1E  # of a fleet that starts settled
@@ -86,7 +86,7 @@
     def version_in_force(self) -> int:
         """Of the settings that it acts on alone."""
         self.versions.rules_stamp()
-        acts = self.versions.core.acts
+        acts = self.versions.core.effective
         return acts.version if acts.mode == "in force" else 0
 
     def report(self) -> MemberState:
@@ -94,7 +94,7 @@
         member, voter = self.view.view, self.agree.core.voter
         now = self.life.clock.monotonic_ns()
         self.versions.rules_stamp()
-        acts, book = self.versions.core.acts, self.versions.core.book
+        acts, book = self.versions.core.effective, self.versions.core.store
         said = [member.budget.sent, self.agree.core.shared.budget.sent]
         return MemberState(
             self.life.seat.number,
@@ -106,8 +106,8 @@
             member.settled,
             voter.role is VotingRole.LEADER,
             _short(book.snapshot()),
-            _short(book.pages.rules.settings.encode()),
-            book.pages.version,
+            _short(book.state.rules.settings.encode()),
+            book.state.version,
             sum(sent[0] for sent in said),
             sum(sent[1] for sent in said),
         )
@@ -201,4 +201,4 @@
 
     def digest(self, change: dict[str, Any]) -> str:
         """Of the text that all share."""
-        return _short(share(change).encode())
+        return _short(shared_part(change).encode())
--- a/dykeshift/shares/loans.py
+++ b/dykeshift/shares/loans.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseTerms:
     """Parameters of the leases: times in nanoseconds, fractions of an allocation or a need."""
 
     lease: int = 5 * SECOND
@@ -68,17 +68,17 @@
 class Holding:
     """This balancer's part of one limit: its allocation, its need, and the units lent and borrowed."""
 
-    deed: int = 0
+    allocation: int = 0
     need: int = 0  # units that the host would use now
     lent: int = 0
     borrowed: int = 0
 
 
 @dataclass
-class Shares:
+class LeaseAllocator:
     """The lender and borrower of one balancer, for all limits. Times are monotonic nanoseconds."""
 
-    terms: Terms
+    terms: LeaseTerms
     number: int
     rng: Random
     holdings: dict[int, Holding] = field(default_factory=dict)
@@ -99,9 +99,9 @@
 
     # ---- calls of the host ----
 
-    def on_deed(self, now: int, limit: int, units: int) -> None:
+    def on_allocation(self, now: int, limit: int, units: int) -> None:
         """Set this balancer's allocation of a limit."""
-        self.holdings.setdefault(limit, Holding()).deed = units
+        self.holdings.setdefault(limit, Holding()).allocation = units
 
     def on_need(self, limit: int, units: int) -> None:
         """Set how many units of a limit are needed here."""
@@ -114,11 +114,11 @@
         holding = self.holdings.get(limit)
         if holding is None:
             return 0
-        own = holding.deed - holding.lent if now >= self.lending_from else self._floor(holding)
+        own = holding.allocation - holding.lent if now >= self.lending_from else self._floor(holding)
         return max(0, own) + holding.borrowed
 
     def _floor(self, holding: Holding) -> int:
-        return int(holding.deed * self.terms.floor)
+        return int(holding.allocation * self.terms.floor)
 
     # ---- time ----
 
@@ -158,7 +158,7 @@
         out = list[tuple[Message, int]]()
         for token, loan in self.borrowed.items():
             holding = self.holdings[loan.limit]
-            needed = holding.need > max(0, holding.deed - holding.lent)
+            needed = holding.need > max(0, holding.allocation - holding.lent)
             if needed and now - loan.requested_at >= self.terms.renew_after * self.terms.lease:
                 loan.requested_at = now
                 out.append((self._request(now, token, loan.limit, loan.peer, loan.amount), loan.peer))
@@ -211,12 +211,12 @@
         loan = self.lent.get(key)
         if loan is None:
             reserved = max(self._floor(holding), int(holding.need * (1 + self.terms.headroom)))
-            amount = min(ask.amount, holding.deed - holding.lent - reserved)
+            amount = min(ask.amount, holding.allocation - holding.lent - reserved)
             if amount <= 0:
                 return []
             loan = self.lent[key] = Loan(ask.limit, ask.number, amount, 0)
             holding.lent += amount
-        elif holding.deed < holding.lent or holding.need > holding.deed - holding.lent:
+        elif holding.allocation < holding.lent or holding.need > holding.allocation - holding.lent:
             return []  # needed here: not renewed, the loan ends as granted
         loan.expires_at = now + self.terms.settle
         heappush(self.expirations, (loan.expires_at, True, *key))
--- a/dykeshift/versions/book.py
+++ b/dykeshift/versions/book.py
@@ -103,7 +103,7 @@
     by: str
 
 
-class Pages(Struct):
+class StoreState(Struct):
     """The complete state, as stored and sent in snapshots.
 
     `out`: servers banned by hand. `preferred`: servers chosen first among equally idle ones. `closed`:
@@ -122,16 +122,16 @@
     outcomes: tuple[Outcome, ...] = ()
 
 
-_decoder = msgspec.json.Decoder(Pages)
+_decoder = msgspec.json.Decoder(StoreState)
 
 
-class Book:
+class VersionStore:
     """The state machine that applies the changes of the replicated log."""
 
     def __init__(self) -> None:
         """Start with the empty state of version 0."""
-        self.pages = Pages()
-        self.strange = 0  # log entries that are not a known change
+        self.state = StoreState()
+        self.unknown_entries = 0  # log entries that are not a known change
         self.change_count = 0  # times that the state changed in this process
         self.ban_versions: dict[str, int] = {}  # by server: the version of its latest ban
 
@@ -141,39 +141,39 @@
         """Applies a committed entry; one that is not a known change only advances the version."""
         change = unpack(body)
         self.change_count += 1
-        self.pages.version = version
+        self.state.version = version
         if change is None:
-            self.strange += 1
+            self.unknown_entries += 1
             return
         getattr(self, "_" + type(change).__name__.lower())(version, change)
 
     def snapshot(self) -> bytes:
         """Returns the encoded state."""
-        return msgspec.json.encode(self.pages)
+        return msgspec.json.encode(self.state)
 
     def restore(self, version: int, state: bytes) -> None:
         """Replaces the state by a snapshot; one that can't be decoded gives the empty state."""
         try:
-            self.pages = _decoder.decode(state)
+            self.state = _decoder.decode(state)
         except (msgspec.DecodeError, msgspec.ValidationError):
-            self.pages = Pages()
+            self.state = StoreState()
         self.change_count += 1
-        self.pages.version = version
+        self.state.version = version
 
     # ---- queries ----
 
     def find(self, version: int) -> Rules | None:
         """Returns a current or previous version that has settings."""
-        known = (self.pages.rules, *self.pages.past)
+        known = (self.state.rules, *self.state.past)
         return next((r for r in known if r.version == version and r.settings), None)
 
     def outcome(self, version: int) -> Outcome | None:
         """Returns the result of a recent proposal; None if it is pending or not kept."""
-        return next((o for o in self.pages.outcomes if o.version == version), None)
+        return next((o for o in self.state.outcomes if o.version == version), None)
 
     def objection(self, change: object) -> str:
         """Returns why the change would have no effect now; empty if it would have one."""
-        pages, pending = self.pages, self.pages.pending
+        pages, pending = self.state, self.state.pending
         if isinstance(change, Propose):
             return f"version {pending.rules.version} is under way" if pending is not None else ""
         if isinstance(change, Halt):
@@ -190,8 +190,8 @@
     # ---- changes ----
 
     def _propose(self, version: int, change: Propose) -> None:
-        if self.pages.pending is None:
-            self.pages.pending = Pending(
+        if self.state.pending is None:
+            self.state.pending = Pending(
                 Rules(version, bytes(change.settings).decode(), change.by),
                 since=version,
                 stages=change.stages,
@@ -199,14 +199,14 @@
             )
 
     def _pending_in_phase(self, version: int, *phases: Phase) -> Pending | None:
-        pending = self.pages.pending
+        pending = self.state.pending
         if pending is not None and pending.rules.version == version and pending.phase in phases:
             return pending
         return None
 
     def _finish(self, version: int, how: Result, reason: str) -> None:
-        self.pages.pending = None
-        self.pages.outcomes = (*self.pages.outcomes, Outcome(version, how, reason))[-MAX_KEPT:]
+        self.state.pending = None
+        self.state.outcomes = (*self.state.outcomes, Outcome(version, how, reason))[-MAX_KEPT:]
 
     def _refuse(self, version: int, change: Refuse) -> None:
         pending = self._pending_in_phase(change.version, Phase.CHECK)
@@ -216,7 +216,7 @@
     def _middle(self, version: int, change: Middle) -> None:
         pending = self._pending_in_phase(change.version, Phase.CHECK)
         if pending is not None and not pending.dry:
-            self.pages.pending = msgspec.structs.replace(pending, phase=Phase.MIDDLE, since=version)
+            self.state.pending = msgspec.structs.replace(pending, phase=Phase.MIDDLE, since=version)
 
     def _force(self, version: int, change: Force) -> None:
         pending = self._pending_in_phase(change.version, Phase.CHECK, Phase.MIDDLE, Phase.STAGE)
@@ -224,12 +224,12 @@
             return
         if change.stage >= 0:
             if pending.stage < change.stage < len(pending.stages):
-                self.pages.pending = msgspec.structs.replace(
+                self.state.pending = msgspec.structs.replace(
                     pending, phase=Phase.STAGE, since=version, stage=change.stage
                 )
             return
-        self.pages.past = (self.pages.rules, *self.pages.past)[:MAX_KEPT]
-        self.pages.rules = pending.rules
+        self.state.past = (self.state.rules, *self.state.past)[:MAX_KEPT]
+        self.state.rules = pending.rules
         self._finish(change.version, "in force", "")
 
     def _halt(self, version: int, change: Halt) -> None:
@@ -239,7 +239,7 @@
         if pending.phase is Phase.CHECK:
             self._finish(change.version, "halted", change.reason)
         else:
-            self.pages.pending = msgspec.structs.replace(
+            self.state.pending = msgspec.structs.replace(
                 pending, phase=Phase.BACK, since=version, reason=change.reason
             )
 
@@ -251,13 +251,13 @@
     def _ban(self, version: int, change: Ban) -> None:
         if not self.objection(change):
             self.ban_versions = dict([*self.ban_versions.items(), (change.name, version)][-MAX_BANNED:])
-            self.pages.out = {change.name: Out(version, change.by), **self.pages.out}
+            self.state.out = {change.name: Out(version, change.by), **self.state.out}
 
     def _unban(self, version: int, change: Unban) -> None:
-        self.pages.out = {n: v for n, v in self.pages.out.items() if n != change.name}
+        self.state.out = {n: v for n, v in self.state.out.items() if n != change.name}
 
     def _lists(self, version: int, change: Lists) -> None:
         for name in ("preferred", "closed", "wary", "doubt"):
             value = getattr(change, name)
             if value is not None:
-                setattr(self.pages, name, value)
+                setattr(self.state, name, value)
--- a/dykeshift/versions/checks.py
+++ b/dykeshift/versions/checks.py
@@ -8,25 +8,27 @@
 
 from dykeshift.interface import Settings
 from dykeshift.settings import SettingsError
-from dykeshift.versions.own import Own
-from dykeshift.versions.terms import live
+from dykeshift.versions.own import LocalSettings
+from dykeshift.versions.terms import active_classes
 
 MS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class LocalObservations:
     """What this balancer observes locally. Times in nanoseconds."""
 
     running: frozenset[int] = frozenset()  # servers that are running by its own list
     inflight: dict[str, int] = field(default_factory=dict)  # requests in flight, by class
-    usual: dict[str, float] = field(default_factory=dict)  # mean time of good answers, by class
+    mean_response_times: dict[str, float] = field(default_factory=dict)  # mean time of good answers, by class
     attempts: int = 0  # the largest number that a request in flight has had
-    at_work: int = 1  # balancers that are known to be active
+    active_balancers: int = 1  # balancers that are known to be active
     max_attempts: int = 3  # allowed by the rules of the platform
 
 
-def objection(text: str, own: Own, current: Settings, closed: frozenset[str], sight: Sight) -> str:
+def objection(
+    text: str, own: LocalSettings, current: Settings, closed: frozenset[str], sight: LocalObservations
+) -> str:
     """Returns why this balancer could not apply the settings `text`; empty if it could.
 
     `current`: the settings in force. `closed`: classes that are already rejected."""
@@ -34,7 +36,7 @@
         new = own.read(text)
     except SettingsError as exc:
         return str(exc)
-    before, after = live(current), live(new)
+    before, after = active_classes(current), active_classes(new)
     for name in before:
         if name not in after and sight.inflight.get(name) and name not in closed:
             return (
@@ -42,7 +44,7 @@
                 "close it first"
             )
     for name, klass in after.items():
-        typical = sight.usual.get(name, 0.0)
+        typical = sight.mean_response_times.get(name, 0.0)
         if klass.deadline <= typical:
             return (
                 f"class {name}: a deadline of {klass.deadline / MS:.0f} ms is not above its "
@@ -52,12 +54,12 @@
         return f"{new.attempt_limit} attempts are more than the {sight.max_attempts} that the platform allows"
     if new.attempt_limit < sight.attempts:
         return f"a request under way has had {sight.attempts} attempts, {new.attempt_limit} would be allowed"
-    if new.balancers < sight.at_work:
-        return f"settings for {new.balancers} balancers, but {sight.at_work} are active"
+    if new.balancers < sight.active_balancers:
+        return f"settings for {new.balancers} balancers, but {sight.active_balancers} are active"
     return ""
 
 
-def ban_objection(server: int, out: frozenset[int], sight: Sight) -> str:
+def ban_objection(server: int, out: frozenset[int], sight: LocalObservations) -> str:
     """Returns why a server must not be banned by hand (it is the last one); empty if it may be."""
     if server in sight.running and not sight.running - out - {server}:
         return "it is the last running server that is not banned"
--- a/dykeshift/versions/force.py
+++ b/dykeshift/versions/force.py
@@ -23,16 +23,16 @@
 
 from dykeshift.interface import FleetAgreement, Idempotency, Settings
 from dykeshift.settings import SettingsError
-from dykeshift.versions.book import Book, Pending, Phase
+from dykeshift.versions.book import VersionStore, Pending, Phase
 from dykeshift.versions.changes import Ban, Propose, unpack
-from dykeshift.versions.own import Own
-from dykeshift.versions.terms import live, meet
+from dykeshift.versions.own import LocalSettings
+from dykeshift.versions.terms import active_classes, meet
 
 ALL_IDEMPOTENCIES = frozenset(Idempotency)
 
 
 @dataclass(frozen=True, slots=True)
-class Acts:
+class EffectiveSettings:
     """The settings that are applied.
 
     `version`: the version in force that they are based on. `mode`: how they were derived from it."""
@@ -40,31 +40,33 @@
     mode: str  # "in force", "middle" (joint settings of two versions) or "doubtful" (degraded)
     version: int
     settings: Settings
-    out: frozenset[str] = frozenset()  # names of banned servers
+    banned: frozenset[str] = frozenset()  # names of banned servers
     wary: frozenset[str] = frozenset()  # further servers that a degraded balancer avoids
     preferred: frozenset[str] = frozenset()
     closed: frozenset[str] = frozenset()  # classes that are rejected
-    why: str = ""  # reason of the degraded mode
+    degraded_reason: str = ""  # reason of the degraded mode
 
     @property
-    def doubtful(self) -> bool:
+    def degraded(self) -> bool:
         """Whether the balancer is degraded: it has no lease or can't apply the version in force."""
         return self.mode == "doubtful"
 
 
-class InForce:
+class SettingsTracker:
     """Computes the settings to apply; `acts` holds those of the last `look`, `stamp` changes with them."""
 
-    def __init__(self, own: Own, book: Book, number: int) -> None:
+    def __init__(self, own: LocalSettings, book: VersionStore, number: int) -> None:
         """Starts in degraded mode. `number`: of this balancer, by which stages name it."""
-        self.own, self.book, self.number = own, book, number
+        self.local_settings, self.store, self.number = own, book, number
         self.stamp = 1
         self.since = 0  # when `acts` last changed
-        self.acts = Acts("doubtful", 0, own.settings, why="the process has just started")
+        self.effective = EffectiveSettings(
+            "doubtful", 0, own.settings, degraded_reason="the process has just started"
+        )
         self.inputs: tuple[object, ...] = ()
         self.leased = False
 
-    def look(
+    def update(
         self, now: int, lease_left: int, uncommitted: tuple[bytes, ...] = (), why: str = "no lease"
     ) -> int:
         """Updates `acts` and returns its stamp.
@@ -72,29 +74,31 @@
         `uncommitted`: changes known here that are not known to be committed. `why`: why there is no lease."""
         leased = lease_left > 0
         inputs = (
-            (leased, self.book.change_count) if leased else (leased, self.book.change_count, uncommitted, why)
+            (leased, self.store.change_count)
+            if leased
+            else (leased, self.store.change_count, uncommitted, why)
         )
         if inputs != self.inputs:
             self.inputs, self.leased = inputs, leased
             acts = self._in_force() if leased else self._degraded(uncommitted, why)
-            if acts != self.acts:
-                self.acts, self.since = acts, now
+            if acts != self.effective:
+                self.effective, self.since = acts, now
                 self.stamp += 1
         return self.stamp
 
-    def reread(self) -> None:
+    def invalidate(self) -> None:
         """Recomputes `acts` at the next `look`, as the local settings have changed."""
         self.inputs = ()
 
     # ---- with a lease ----
 
-    def _in_force(self) -> Acts:
-        pages, pending = self.book.pages, self.book.pages.pending
+    def _in_force(self) -> EffectiveSettings:
+        pages, pending = self.store.state, self.store.state.pending
         try:
-            current = self.own.read(pages.rules.settings)
+            current = self.local_settings.read(pages.rules.settings)
             if pending is None or pending.phase is Phase.CHECK:
                 return self._committed("in force", pages.rules.version, current)
-            proposed = self.own.read(pending.rules.settings)
+            proposed = self.local_settings.read(pending.rules.settings)
         except SettingsError as exc:  # for instance after a downgrade of the program
             return self._degraded((), f"cannot apply the version in force: {exc}")
         if self._staged(pending):
@@ -106,9 +110,9 @@
             self.number in group for group in pending.stages[: pending.stage + 1]
         )
 
-    def _committed(self, mode: str, version: int, settings: Settings) -> Acts:
-        pages = self.book.pages
-        return Acts(
+    def _committed(self, mode: str, version: int, settings: Settings) -> EffectiveSettings:
+        pages = self.store.state
+        return EffectiveSettings(
             mode,
             version,
             settings,
@@ -120,8 +124,8 @@
 
     # ---- without a lease ----
 
-    def _degraded(self, uncommitted: Iterable[bytes], why: str) -> Acts:
-        pages, pending = self.book.pages, self.book.pages.pending
+    def _degraded(self, uncommitted: Iterable[bytes], why: str) -> EffectiveSettings:
+        pages, pending = self.store.state, self.store.state.pending
         texts = [pages.rules.settings] + ([pending.rules.settings] if pending is not None else [])
         out = set(pages.out)
         for body in uncommitted:
@@ -133,13 +137,13 @@
         settings: Settings | None = None
         for text in texts:
             try:
-                parsed = self.own.read(text)
+                parsed = self.local_settings.read(text)
             except SettingsError:
                 continue  # can't be applied; the degraded mode forbids whatever any settings may forbid
             settings = parsed if settings is None else meet(settings, parsed)
-        settings = settings or self.own.settings
-        closed = set(pages.closed) | (set(live(settings)) if pages.doubt == "refuse" else set())
-        return Acts(
+        settings = settings or self.local_settings.settings
+        closed = set(pages.closed) | (set(active_classes(settings)) if pages.doubt == "refuse" else set())
+        return EffectiveSettings(
             "doubtful",
             pages.rules.version,
             settings,
@@ -152,23 +156,23 @@
 
     # ---- for the decision module ----
 
-    def forms(self) -> dict[str, frozenset[Idempotency]]:
+    def accepted_idempotency(self) -> dict[str, frozenset[Idempotency]]:
         """Returns the kinds of idempotency that clients may use now, of classes with more than one.
 
         While a proposal is applied these are the kinds of both versions, in degraded mode all kinds."""
-        if self.acts.doubtful:
-            return dict.fromkeys(live(self.acts.settings), ALL_IDEMPOTENCIES)
-        pending = self.book.pages.pending
+        if self.effective.degraded:
+            return dict.fromkeys(active_classes(self.effective.settings), ALL_IDEMPOTENCIES)
+        pending = self.store.state.pending
         if pending is None or pending.phase is Phase.CHECK:
             return {}
         try:
             current, proposed = (
-                self.own.read(self.book.pages.rules.settings),
-                self.own.read(pending.rules.settings),
+                self.local_settings.read(self.store.state.rules.settings),
+                self.local_settings.read(pending.rules.settings),
             )
         except SettingsError:
             return {}
-        first, second = live(current), live(proposed)
+        first, second = active_classes(current), active_classes(proposed)
         return {
             name: frozenset({c.idempotency, second[name].idempotency})
             for name, c in first.items()
@@ -176,7 +180,9 @@
         }
 
 
-def word(acts: Acts, numbers: dict[str, int], leaving: frozenset[int] = frozenset()) -> FleetAgreement:
+def fleet_agreement(
+    acts: EffectiveSettings, numbers: dict[str, int], leaving: frozenset[int] = frozenset()
+) -> FleetAgreement:
     """Returns what the decision module gets besides the settings.
 
     `numbers`: of servers, by name. `leaving`: servers that are leaving by other balancers' lists. Banned
@@ -185,5 +191,5 @@
         leaving | frozenset(numbers[n] for n in acts.wary if n in numbers),
         frozenset(numbers[n] for n in acts.preferred if n in numbers),
         acts.closed,
-        acts.doubtful,
+        acts.degraded,
     )
--- a/dykeshift/versions/guide.py
+++ b/dykeshift/versions/guide.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from dykeshift.versions.book import Book, Pending, Phase, proposal_digest
+from dykeshift.versions.book import VersionStore, Pending, Phase, proposal_digest
 from dykeshift.versions.changes import Change, Drop, Force, Halt, Middle, Refuse
 from dykeshift.versions.trial import Trial
 from dykeshift.versions.wire import Report, Verdict
@@ -33,22 +33,22 @@
 
     lease: int = 10 * SECOND  # lease of the replicated log
     drift: float = 0.01  # fraction by which a clock may run faster or slower
-    check: int = 20 * SECOND  # time-out for the verdicts of all balancers
-    stage: int = 30 * SECOND  # minimum duration of a stage
-    least: int = 200  # minimum number of answers of the staged balancers before the next stage
-    patience: int = 600 * SECOND  # time-out for that many answers
-    report: int = SECOND  # interval of reports while a proposal is pending
-    quiet: int = 5 * SECOND  # interval of reports otherwise
-    last: int = 15 * SECOND  # how long another balancer's announcement of a leaving server counts
+    check_timeout: int = 20 * SECOND  # time-out for the verdicts of all balancers
+    stage_time: int = 30 * SECOND  # minimum duration of a stage
+    min_stage_answers: int = 200  # minimum number of answers of the staged balancers before the next stage
+    stage_timeout: int = 600 * SECOND  # time-out for that many answers
+    report_interval: int = SECOND  # interval of reports while a proposal is pending
+    idle_report_interval: int = 5 * SECOND  # interval of reports otherwise
+    list_hold_time: int = 15 * SECOND  # how long another balancer's announcement of a leaving server counts
 
     @property
-    def wait(self) -> int:
+    def lease_wait(self) -> int:
         """The duration after which the lease has ended in real time, by a clock that may run too fast."""
         return int(self.lease * (1 + 2 * self.drift))
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class LogStatus:
     """The state of the replicated log at this instant."""
 
     is_leader: bool  # this process is the leader and knows what is committed
@@ -60,16 +60,16 @@
     """The latest report of one balancer."""
 
     report: Report
-    at: int
+    received_at: int
     last_counted: Report | None = None  # the last one counted by the trial
 
 
 @dataclass
-class Guide:
+class RolloutLeader:
     """Chooses the changes that the leader proposes for the pending proposal."""
 
     options: Options
-    book: Book
+    store: VersionStore
     contradicts: Callable[[Pending], bool]  # whether the proposal needs a joint phase
     members: dict[int, Member] = field(default_factory=dict)
     phase_seen: tuple[int, int] = (0, 0)  # digest of the proposal, version that started its phase
@@ -87,9 +87,9 @@
             before = None  # another incarnation: its counters start at zero
         self.members[report.number] = Member(report, now, before)
 
-    def next(self, now: int, facts: Facts) -> Change | None:
+    def next(self, now: int, facts: LogStatus) -> Change | None:
         """Returns the change to propose now, on the current version; None if there is none."""
-        pending = self.book.pages.pending
+        pending = self.store.state.pending
         if pending is None or not facts.is_leader:
             self.phase_seen = (0, 0)
             return None
@@ -103,9 +103,9 @@
 
     # ---- phases ----
 
-    def _check(self, now: int, facts: Facts, pending: Pending) -> Change | None:
+    def _check(self, now: int, facts: LogStatus, pending: Pending) -> Change | None:
         version, (objections, missing) = pending.rules.version, self._verdicts(facts, pending)
-        timed_out = now - self.phase_seen_at >= self.options.check
+        timed_out = now - self.phase_seen_at >= self.options.check_timeout
         if objections and (not pending.dry or timed_out or not missing):  # a dry run collects all objections
             return Refuse(version, "; ".join(objections)[:MAX_REASON])
         if missing and timed_out:
@@ -123,7 +123,7 @@
             return Middle(version)
         return Force(version, 0 if pending.stages else -1)
 
-    def _verdicts(self, facts: Facts, pending: Pending) -> tuple[list[str], list[int]]:
+    def _verdicts(self, facts: LogStatus, pending: Pending) -> tuple[list[str], list[int]]:
         """Returns the objections, and the numbers of live balancers that have no verdict yet."""
         proposal, objections, missing = proposal_digest(pending.rules), list[str](), list[int]()
         for number in sorted(facts.alive):
@@ -135,12 +135,12 @@
                 missing.append(number)
         return objections, missing
 
-    def _middle(self, now: int, facts: Facts, pending: Pending) -> Change | None:
-        if now - self.phase_seen_at < self.options.wait:
+    def _middle(self, now: int, facts: LogStatus, pending: Pending) -> Change | None:
+        if now - self.phase_seen_at < self.options.lease_wait:
             return None
         return Force(pending.rules.version, 0 if pending.stages else -1)
 
-    def _stage(self, now: int, facts: Facts, pending: Pending) -> Change | None:
+    def _stage(self, now: int, facts: LogStatus, pending: Pending) -> Change | None:
         version, options = pending.rules.version, self.options
         self._count_answers(now, pending)
         if self.trial.worse:
@@ -149,10 +149,13 @@
                 version,
                 f"stage {pending.stage}: {first:.1%} of its answers are bad, {others:.1%} of the others'",
             )
-        if now - self.phase_seen_at >= options.stage and self.trial.staged_answers >= options.least:
+        if (
+            now - self.phase_seen_at >= options.stage_time
+            and self.trial.staged_answers >= options.min_stage_answers
+        ):
             is_last = pending.stage + 1 >= len(pending.stages)
             return Force(version, -1 if is_last else pending.stage + 1)
-        if now - self.phase_seen_at >= options.patience:
+        if now - self.phase_seen_at >= options.stage_timeout:
             return Halt(
                 version,
                 f"stage {pending.stage}: {self.trial.staged_answers:.0f} answers are too few to judge it",
@@ -176,13 +179,13 @@
             member.last_counted = report
         self.trial.add((groups[0][0], groups[0][1]), (groups[1][0], groups[1][1]))
 
-    def _back(self, now: int, facts: Facts, pending: Pending) -> Change | None:
-        return Drop(pending.rules.version) if now - self.phase_seen_at >= self.options.wait else None
+    def _back(self, now: int, facts: LogStatus, pending: Pending) -> Change | None:
+        return Drop(pending.rules.version) if now - self.phase_seen_at >= self.options.lease_wait else None
 
 
-_PHASE_HANDLERS: dict[Phase, Callable[[Guide, int, Facts, Pending], Change | None]] = {
-    Phase.CHECK: Guide._check,
-    Phase.MIDDLE: Guide._middle,
-    Phase.STAGE: Guide._stage,
-    Phase.BACK: Guide._back,
+_PHASE_HANDLERS: dict[Phase, Callable[[RolloutLeader, int, LogStatus, Pending], Change | None]] = {
+    Phase.CHECK: RolloutLeader._check,
+    Phase.MIDDLE: RolloutLeader._middle,
+    Phase.STAGE: RolloutLeader._stage,
+    Phase.BACK: RolloutLeader._back,
 }
--- a/dykeshift/versions/link.py
+++ b/dykeshift/versions/link.py
@@ -6,10 +6,10 @@
 
 from dykeshift.agree.core import Agree
 from dykeshift.agree.log import Sort
-from dykeshift.versions.guide import Facts
+from dykeshift.versions.guide import LogStatus
 
 
-class Link:
+class AgreeLog:
     """Implements `core.ReplicatedLog` for one agreement core and one clock."""
 
     def __init__(self, core: Agree, clock: Callable[[], int]) -> None:
@@ -45,10 +45,10 @@
         leader = self.core.voter.leader
         return leader[0] if leader is not None else None
 
-    def facts(self) -> Facts:
+    def status(self) -> LogStatus:
         """Returns whether this process leads, and which balancers are alive."""
         shared = self.core.shared
-        return Facts(self.core.voter.settled(), frozenset(shared.alive | {shared.number}))
+        return LogStatus(self.core.voter.settled(), frozenset(shared.alive | {shared.number}))
 
     def log_id(self) -> int:
         """Returns the identity of the log; 0 as long as none is known."""
--- a/dykeshift/versions/lists.py
+++ b/dykeshift/versions/lists.py
@@ -41,7 +41,7 @@
     newest_received: tuple[int, tuple[int, ...]] = (0, ())  # newest announcement of a peer, to be forwarded
     newest_received_at: int = 0
 
-    def on_own(
+    def on_own_list(
         self, now: int, generation: int | None, running: frozenset[int], listed: frozenset[int]
     ) -> None:
         """Updates the own list: of the servers `listed`, those in `running` may get requests."""
@@ -58,7 +58,7 @@
             return ""
         self._expire(now)
         new = {n for n in servers if n in self.running and n not in self.notices}
-        if len(self.out(now)) + len(new) > self.max_share * len(self.running):
+        if len(self.avoided(now)) + len(new) > self.max_share * len(self.running):
             self.ignored += 1
             return (
                 f"generation {generation} would exclude {len(new)} more of {len(self.running)} "
@@ -70,7 +70,7 @@
             self.newest_received, self.newest_received_at = (generation, servers), now
         return ""
 
-    def out(self, now: int) -> frozenset[int]:
+    def avoided(self, now: int) -> frozenset[int]:
         """Returns servers that are running by the own list and get no new requests."""
         self._expire(now)
         return frozenset(
--- a/dykeshift/versions/own.py
+++ b/dykeshift/versions/own.py
@@ -12,7 +12,7 @@
 LOCAL_KEYS = ("az", "me", "discovery", "stepNs")  # keys of the settings that each balancer sets for itself
 
 
-class Own:
+class LocalSettings:
     """The local settings of this balancer and those of its file.
 
     The settings of the file apply as long as no version has ever been in force."""
@@ -20,7 +20,7 @@
     def __init__(self, raw: dict[str, Any]) -> None:
         """Takes the settings of its file, with the protocol's keys; raises SettingsError if invalid."""
         self.local = {name: raw[name] for name in LOCAL_KEYS if name in raw}
-        self.shared = share(raw)
+        self.shared = shared_part(raw)
         self.settings = parse_settings(raw)
         self._read = lru_cache(maxsize=16)(self._parse)
 
@@ -50,7 +50,7 @@
         return settings
 
 
-def share(raw: dict[str, Any]) -> str:
+def shared_part(raw: dict[str, Any]) -> str:
     """Returns the shared part in canonical form: equal texts mean equal settings."""
     return json.dumps(
         {name: value for name, value in raw.items() if name not in LOCAL_KEYS},
--- a/dykeshift/versions/terms.py
+++ b/dykeshift/versions/terms.py
@@ -34,7 +34,7 @@
     """The rule for one field. `meet` returns the value that allows only what both allow (GUARDED fields)."""
 
     kind: FieldKind
-    why: str  # a one-line explanation for operators
+    explanation: str  # a one-line explanation for operators
     meet: Callable[[Any, Any], Any] | None = None
 
 
@@ -99,7 +99,7 @@
 }
 
 
-def live(settings: Settings) -> dict[str, RequestClass]:
+def active_classes(settings: Settings) -> dict[str, RequestClass]:
     """Returns the classes that are not retired, by name."""
     return {c.name: c for n, c in enumerate(settings.classes) if n not in settings.retired}
 
@@ -108,7 +108,7 @@
     """Returns the joint settings: the narrower value of each guarded field, and the classes of both.
 
     Its OWN and FREE fields are those of the first."""
-    first, second = live(one), live(other)
+    first, second = active_classes(one), active_classes(other)
     classes = [restrict_repeats(c, second[name]) if name in second else c for name, c in first.items()]
     classes += [c for name, c in second.items() if name not in first]
     changed = {
@@ -135,8 +135,8 @@
         for name, term in SETTINGS.items()
         if term.kind is kind and name != "classes" and getattr(one, name) != getattr(other, name)
     ]
-    second = live(other)
-    for name, klass in live(one).items():
+    second = active_classes(other)
+    for name, klass in active_classes(one).items():
         if name in second:
             found += [
                 f"{name}.{field}"
@@ -172,7 +172,7 @@
 }
 
 
-def repeats(klass: RequestClass) -> dict[Scope, float]:
+def allowed_repeats(klass: RequestClass) -> dict[Scope, float]:
     """Returns, by scope, for how many nanoseconds after the first attempt a class allows a repeat there."""
     if klass.idempotency is Idempotency.SAFE:
         return dict.fromkeys((Scope.ALL, Scope.ZONE, Scope.CELL), float("inf"))
@@ -186,18 +186,20 @@
     return dict.fromkeys(scopes, float(klass.window))
 
 
-def bolder(one: Settings, other: Settings) -> list[str]:
+def more_permissive(one: Settings, other: Settings) -> list[str]:
     """Returns fields and classes in which the first settings allow something that the second forbid."""
     found = [
         name
         for name, measure in _PERMISSIVENESS.items()
         if measure(getattr(one, name)) > measure(getattr(other, name))
     ]
-    second = live(other)
-    for name, klass in live(one).items():
+    second = active_classes(other)
+    for name, klass in active_classes(one).items():
         if name in second:
-            allowed = repeats(second[name])
-            found += [name for scope, until in repeats(klass).items() if until > allowed.get(scope, -1.0)]
+            allowed = allowed_repeats(second[name])
+            found += [
+                name for scope, until in allowed_repeats(klass).items() if until > allowed.get(scope, -1.0)
+            ]
     return found
 
 
--- a/dykeshift/versions/wire.py
+++ b/dykeshift/versions/wire.py
@@ -78,7 +78,7 @@
 Message = Report | Leaving
 
 
-def is_ours(data: bytes) -> bool:
+def is_versions_datagram(data: bytes) -> bool:
     """Whether a datagram has a kind of this module."""
     return len(data) > 1 and data[1] >= FIRST_KIND
 
--- a/tests/configuration/test_translate.py
+++ b/tests/configuration/test_translate.py
@@ -39,8 +39,8 @@
 from dykeshift.configuration.translate import puts_of, puts_of_lists, settings_of, words_of
 from dykeshift.interface import Idempotency
 from dykeshift.settings import SettingsError, parse_settings
-from dykeshift.versions.book import Out, Pages
-from dykeshift.versions.terms import bolder, contradicts, repeats
+from dykeshift.versions.book import Out, StoreState
+from dykeshift.versions.terms import more_permissive, contradicts, allowed_repeats
 from tests.configuration.words import (
     SAFE,
     SERVICE,
@@ -138,7 +138,9 @@
 
 
 def test_the_bans_and_lists_of_a_book_become_resources() -> None:
-    pages = Pages(out={"s1": Out(3, "7")}, preferred=("s2",), closed=("send",), wary=("s3",), doubt="refuse")
+    pages = StoreState(
+        out={"s1": Out(3, "7")}, preferred=("s2",), closed=("send",), wary=("s3",), doubt="refuse"
+    )
     driver = Driver()
     driver.through(put(service_key("cart"), SERVICE))
     driver.through(*puts_of_lists(pages, "cart"))
@@ -200,14 +202,14 @@
     acting = acting_settings(held, "s")
     assert acting is not None
     before, after = settings_of(old, [("c", one)]), settings_of(new, [("c", other)])
-    assert not bolder(acting, before)
-    assert not bolder(acting, after)
+    assert not more_permissive(acting, before)
+    assert not more_permissive(acting, after)
     needs = guarded(service_key("s"), old, new, no_class, no_class)
     needs |= guarded(class_key("c"), one, other, no_class, no_class)
     assert needs == contradicts(before, after)
     if not needs:
-        assert not bolder(before, after)
-        assert not bolder(after, before)
+        assert not more_permissive(before, after)
+        assert not more_permissive(after, before)
 
 
 @given(one=class_terms, other=class_terms, moves=st.booleans())
@@ -226,8 +228,8 @@
     for key in held:
         alone = acting_class(held[key])
         assert alone is not None
-        for scope, until in repeats(acting.request_class).items():
-            assert until <= repeats(alone).get(scope, -1.0)
+        for scope, until in allowed_repeats(acting.request_class).items():
+            assert until <= allowed_repeats(alone).get(scope, -1.0)
     if moves:
         assert acting.request_class.idempotency in (Idempotency.SAFE, Idempotency.UNSAFE)
 
@@ -237,7 +239,7 @@
     if not guarded(route_key("r"), old, new, lookup, lookup):
         after = acting_route(Resource(route_key("r"), 1, encode_body(new)), held.get)
         assert after is not None
-        assert repeats(after.request_class) == repeats(acting.request_class)
+        assert allowed_repeats(after.request_class) == allowed_repeats(acting.request_class)
 
 
 def test_a_new_resource_does_not_exist_until_it_is_in_force() -> None:
--- a/tests/node/test_versions.py
+++ b/tests/node/test_versions.py
@@ -62,7 +62,7 @@
 
 
 def all_act_on(every: list[feature.Service], version: int) -> bool:
-    return all(s.core.acts.mode == "in force" and s.core.acts.version == version for s in every)
+    return all(s.core.effective.mode == "in force" and s.core.effective.version == version for s in every)
 
 
 def nodes(stub: Stub, count: int, **options: Any) -> list[Any]:
@@ -132,7 +132,7 @@
             # no server would be left
             assert (await call(here, "/maintenance/enter", {"name": "s1"}))[0] == 409
             assert (await call(here, "/maintenance/enter", {"name": "s9"}))[0] == 404
-            await wait_until(lambda: "s0" in there.core.acts.out)
+            await wait_until(lambda: "s0" in there.core.effective.banned)
             for n in range(8):
                 assert (await b.ask(request(rid=f"r{n}"))).body == b"second"
             status, _ = await call(there, "/maintenance/exit", {"name": "s0"})
@@ -201,7 +201,7 @@
                     for each in x.services:
                         each.close()
             here = every[0]
-            await wait_until(lambda: here.core.acts.doubtful)
+            await wait_until(lambda: here.core.effective.degraded)
             assert a.front.is_ready()  # it has served before, so it stays ready
             reply = json.loads(here.agree.view.status())
             assert reply["rules"]["mode"] == "doubtful" and "majority" in reply["rules"]["why"]
@@ -213,7 +213,7 @@
             status, reply = await call(here, "/settings/propose", {"settings": made_unsafe()})
             assert status in (409, 503) and reply["reason"]
             assert (await call(here, "/settings/alone"))[0] == 200
-            await wait_until(lambda: here.core.acts.mode == "in force")
+            await wait_until(lambda: here.core.effective.mode == "in force")
             for each in a.services:
                 each.close()
 
@@ -230,11 +230,11 @@
             assert a.front.driver.ready and not a.front.is_ready()
             here.started_at -= int(feature.STARTUP_WAIT_S * 1e9)
             # no other balancer is reached: it serves, doubtful
-            assert a.front.is_ready() and here.core.acts.doubtful
+            assert a.front.is_ready() and here.core.effective.degraded
             here.started_at = here.now()
             async with two as b:
                 await wait_until(a.front.is_ready)
-                assert not here.core.acts.doubtful
+                assert not here.core.effective.degraded
                 for x in (*a.services, *b.services):
                     x.close()
 
@@ -254,13 +254,13 @@
             assert a.given.peering is not None
             a.given = replace(a.given, peering=replace(a.given.peering, settings=WORDS))
             a.reload()
-            assert here.core.acts.version == 1  # the agreed version stays in force
+            assert here.core.effective.version == 1  # the agreed version stays in force
             ledger = a.front.driver.ledger
             assert (ledger.reloads, ledger.reloads_failed) == (0, 1) and "differs" in here.file_difference
             if hup == "propose":
                 await wait_until(
-                    lambda: all_act_on([here], here.core.book.pages.rules.version)
-                    and here.core.book.pages.rules.version > 1
+                    lambda: all_act_on([here], here.core.store.state.rules.version)
+                    and here.core.store.state.rules.version > 1
                 )
             a.given = replace(
                 a.given,
--- a/tests/scale/defects.py
+++ b/tests/scale/defects.py
@@ -16,7 +16,7 @@
 from dykeshift.scale.session import Session
 from dykeshift.scale.shard import Plan
 from dykeshift.scale.verdict import Finding
-from dykeshift.versions.checks import Sight
+from dykeshift.versions.checks import LocalObservations
 
 BAD = 3  # the number of the member that has the fault
 OPTIONS: dict[str, dict[str, Any]] = {
@@ -49,7 +49,7 @@
     """Says that a change is committed as it is asked for, and forgets it at its end."""
 
     def propose(self, change: dict[str, Any], answered: Answered) -> None:
-        answered(self.versions.core.book.pages.version + 1)
+        answered(self.versions.core.store.state.version + 1)
 
 
 class Loud(Member):
@@ -131,7 +131,7 @@
 
     async def start(self) -> None:
         await super().start()
-        self.versions.core.sight = lambda: Sight(at_work=1 << 20)
+        self.versions.core.observe = lambda: LocalObservations(active_balancers=1 << 20)
 
 
 class Own(Member):
@@ -139,7 +139,7 @@
 
     async def start(self) -> None:
         await super().start()
-        book = self.versions.core.book
+        book = self.versions.core.store
         apply = book.apply
 
         def wrong(version: int, body: bytes) -> None:
--- a/tests/shares/test_loans.py
+++ b/tests/shares/test_loans.py
@@ -16,26 +16,26 @@
 
 from dykeshift.rig.lent import Lent, play
 from dykeshift.shares import loans
-from dykeshift.shares.loans import SECOND, Shares, Terms
+from dykeshift.shares.loans import SECOND, LeaseAllocator, LeaseTerms
 from dykeshift.shares.wire import Ask, Grant, Return, decode, encode
 from dykeshift.view.wire import DatagramError, Seal
 from tests.seeded import defect_tests, patched
 
-TERMS = Terms(lease=5 * SECOND)
+TERMS = LeaseTerms(lease=5 * SECOND)
 
 
-def pair() -> tuple[Shares, Shares]:
+def pair() -> tuple[LeaseAllocator, LeaseAllocator]:
     """A lender that needs nothing and a borrower that needs 80, with allocations 100 and 20, both started."""
     shares = []
     for number, allocation in ((0, 100), (1, 20)):
-        one = Shares(TERMS, number, Random(number))
-        one.on_deed(0, 1, allocation)
+        one = LeaseAllocator(TERMS, number, Random(number))
+        one.on_allocation(0, 1, allocation)
         shares.append(one)
     shares[1].on_need(1, 80)
     return shares[0], shares[1]
 
 
-def lend(now: int, lender: Shares, borrower: Shares) -> list[Any]:
+def lend(now: int, lender: LeaseAllocator, borrower: LeaseAllocator) -> list[Any]:
     """Run one round of requests and answers; returns the grants."""
     grants = []
     for ask, _ in borrower.on_tick(now, [0, 1]):
@@ -115,7 +115,7 @@
     assert play(seed).broken == []
 
 
-def _grants_without_lowering(self: Shares, now: int, ask: Ask) -> list[Any]:
+def _grants_without_lowering(self: LeaseAllocator, now: int, ask: Ask) -> list[Any]:
     """The lender grants without lowering its own part."""
     before = {limit: holding.lent for limit, holding in self.holdings.items()}
     out = _on_ask(self, now, ask)
@@ -125,32 +125,32 @@
     return out
 
 
-def _lease_from_the_grant(self: Shares, now: int, grant: Grant) -> None:
+def _lease_from_the_grant(self: LeaseAllocator, now: int, grant: Grant) -> None:
     token, request = self.open_requests.get(grant.request_id, (0, None))
     if request is not None:
         request.requested_at = now
     _on_grant(self, now, grant)
 
 
-def _accepts_any_answer(self: Shares, now: int, grant: Grant) -> None:
+def _accepts_any_answer(self: LeaseAllocator, now: int, grant: Grant) -> None:
     request_id = next(
         (q for q, (token, _) in self.open_requests.items() if token == grant.token), grant.request_id
     )
     _on_grant(self, now, Grant(grant.number, grant.birth, grant.token, request_id, grant.amount))
 
 
-def _floor_is_the_allocation(self: Shares, holding: loans.Holding) -> int:
-    return holding.deed
+def _floor_is_the_allocation(self: LeaseAllocator, holding: loans.Holding) -> int:
+    return holding.allocation
 
 
-_on_ask, _on_grant, _floor = Shares._on_ask, Shares._on_grant, Shares._floor
+_on_ask, _on_grant, _floor = LeaseAllocator._on_ask, LeaseAllocator._on_grant, LeaseAllocator._floor
 DEFECTS = {
-    "borrower raises before the lender lowers": patched(Shares, "_on_ask", _grants_without_lowering),
-    "a lease that starts at the grant's arrival": patched(Shares, "_on_grant", _lease_from_the_grant),
-    "an answer to an earlier request counts": patched(Shares, "_on_grant", _accepts_any_answer),
-    "the whole allocation without state": patched(Shares, "_floor", _floor_is_the_allocation),
+    "borrower raises before the lender lowers": patched(LeaseAllocator, "_on_ask", _grants_without_lowering),
+    "a lease that starts at the grant's arrival": patched(LeaseAllocator, "_on_grant", _lease_from_the_grant),
+    "an answer to an earlier request counts": patched(LeaseAllocator, "_on_grant", _accepts_any_answer),
+    "the whole allocation without state": patched(LeaseAllocator, "_floor", _floor_is_the_allocation),
     "the lender's end before the borrower's": patched(
-        Terms, "settle", property(lambda self: int(self.lease * 0.9))
+        LeaseTerms, "settle", property(lambda self: int(self.lease * 0.9))
     ),
 }
 SEEDS = {"borrower raises before the lender lowers": 0, "the lender's end before the borrower's": 0}
--- a/tests/versions/defects.py
+++ b/tests/versions/defects.py
@@ -15,37 +15,37 @@
 
 
 def _ignores_the_end_of_the_lease(
-    self: force.InForce, now: int, lease_left: int, uncommitted: Any = (), why: str = ""
+    self: force.SettingsTracker, now: int, lease_left: int, uncommitted: Any = (), why: str = ""
 ) -> int:
     return _look(self, now, 1 if self.leased else lease_left, uncommitted, why)
 
 
 def _always_leased(
-    self: force.InForce, now: int, lease_left: int, uncommitted: Any = (), why: str = ""
+    self: force.SettingsTracker, now: int, lease_left: int, uncommitted: Any = (), why: str = ""
 ) -> int:
     return _look(self, now, 1)
 
 
 def _skips_the_joint_phase(
-    self: guide.Guide, now: int, facts: guide.Facts, pending: Pending
+    self: guide.RolloutLeader, now: int, facts: guide.LogStatus, pending: Pending
 ) -> Change | None:
     change = _check(self, now, facts, pending)
     return Force(change.version) if isinstance(change, Middle) else change
 
 
 def _drops_without_waiting(
-    self: guide.Guide, now: int, facts: guide.Facts, pending: Pending
+    self: guide.RolloutLeader, now: int, facts: guide.LogStatus, pending: Pending
 ) -> Change | None:
     return Drop(pending.rules.version)
 
 
-def _halts_without_joint_phase(self: book.Book, version: int, change: Halt) -> None:
-    if self.pages.pending is not None:
+def _halts_without_joint_phase(self: book.VersionStore, version: int, change: Halt) -> None:
+    if self.state.pending is not None:
         self._finish(change.version, "halted", change.reason)
 
 
 def _waits_for_reports_only(
-    self: guide.Guide, now: int, facts: guide.Facts, pending: Pending
+    self: guide.RolloutLeader, now: int, facts: guide.LogStatus, pending: Pending
 ) -> Change | None:
     """Ends the joint phase once all reachable balancers have reported it, without waiting for the lease."""
     reports = [m.report for n, m in self.members.items() if n in facts.alive]
@@ -54,12 +54,14 @@
     return Force(pending.rules.version, 0 if pending.stages else -1)
 
 
-def _ignores_objections(self: guide.Guide, now: int, facts: guide.Facts, pending: Pending) -> Change | None:
+def _ignores_objections(
+    self: guide.RolloutLeader, now: int, facts: guide.LogStatus, pending: Pending
+) -> Change | None:
     change = _check(self, now, facts, pending)
     return Middle(pending.rules.version) if isinstance(change, Refuse) and not pending.dry else change
 
 
-def _keeps_verdict_of_earlier_incarnation(self: guide.Guide, now: int, report: Report) -> None:
+def _keeps_verdict_of_earlier_incarnation(self: guide.RolloutLeader, now: int, report: Report) -> None:
     known = self.members.get(report.number)
     if known is None or report.verdict is not Verdict.NONE:
         _on_report(self, now, report)
@@ -79,18 +81,22 @@
     return ""
 
 
-def _not_narrower_when_degraded(self: force.InForce, uncommitted: Any, why: str) -> force.Acts:
+def _not_narrower_when_degraded(
+    self: force.SettingsTracker, uncommitted: Any, why: str
+) -> force.EffectiveSettings:
     acts = self._in_force()
-    return force.Acts("doubtful", acts.version, acts.settings, acts.out, closed=acts.closed, why=why)
+    return force.EffectiveSettings(
+        "doubtful", acts.version, acts.settings, acts.banned, closed=acts.closed, degraded_reason=why
+    )
 
 
 def _meet_is_the_new_version(one: Settings, other: Settings) -> Settings:
     return other
 
 
-def _replaces_the_pending_proposal(self: book.Book, version: int, change: Propose) -> None:
+def _replaces_the_pending_proposal(self: book.VersionStore, version: int, change: Propose) -> None:
     """Lets a new proposal replace the pending one at once."""
-    self.pages.pending = Pending(book.Rules(version, bytes(change.settings).decode()), since=version)
+    self.state.pending = Pending(book.Rules(version, bytes(change.settings).decode()), since=version)
 
 
 def _fixed_sample_test(self: Any) -> bool:
@@ -112,9 +118,9 @@
     return ""
 
 
-def _restores_without_bans(self: book.Book, version: int, state: bytes) -> None:
+def _restores_without_bans(self: book.VersionStore, version: int, state: bytes) -> None:
     _restore(self, version, state)
-    self.pages.out = {}
+    self.state.out = {}
 
 
 def _shares_local_settings(raw: dict[str, Any]) -> str:
@@ -123,8 +129,12 @@
     return json.dumps(raw, sort_keys=True)
 
 
-_look, _check, _on_report = force.InForce.look, guide.Guide._check, guide.Guide.on_report
-_on_announcement, _restore = lists.PeerLists.on_announcement, book.Book.restore
+_look, _check, _on_report = (
+    force.SettingsTracker.update,
+    guide.RolloutLeader._check,
+    guide.RolloutLeader.on_report,
+)
+_on_announcement, _restore = lists.PeerLists.on_announcement, book.VersionStore.restore
 _handlers = dict(guide._PHASE_HANDLERS)
 
 
@@ -133,21 +143,25 @@
 
 
 DEFECTS: dict[str, Defect] = {
-    "lease read before a pause": _replace(force.InForce, "look", _ignores_the_end_of_the_lease),
-    "no degraded mode": _replace(force.InForce, "look", _always_leased),
+    "lease read before a pause": _replace(force.SettingsTracker, "update", _ignores_the_end_of_the_lease),
+    "no degraded mode": _replace(force.SettingsTracker, "update", _always_leased),
     "joint phase skipped": _phase(Phase.CHECK, _skips_the_joint_phase),
     "joint phase over once all reachable balancers have reported it": _phase(
         Phase.MIDDLE, _waits_for_reports_only
     ),
     "rollback without waiting": _phase(Phase.BACK, _drops_without_waiting),
-    "halt without its own joint phase": _replace(book.Book, "_halt", _halts_without_joint_phase),
+    "halt without its own joint phase": _replace(book.VersionStore, "_halt", _halts_without_joint_phase),
     "the joint settings are the new version": _replace(force, "meet", _meet_is_the_new_version),
-    "a second proposal replaces the first": _replace(book.Book, "_propose", _replaces_the_pending_proposal),
+    "a second proposal replaces the first": _replace(
+        book.VersionStore, "_propose", _replaces_the_pending_proposal
+    ),
     "an objection ignored": _phase(Phase.CHECK, _ignores_objections),
     "a verdict of an earlier process": _replace(
-        guide.Guide, "on_report", _keeps_verdict_of_earlier_incarnation
+        guide.RolloutLeader, "on_report", _keeps_verdict_of_earlier_incarnation
+    ),
+    "more permissive when degraded": _replace(
+        force.SettingsTracker, "_degraded", _not_narrower_when_degraded
     ),
-    "more permissive when degraded": _replace(force.InForce, "_degraded", _not_narrower_when_degraded),
     "a peer's list may empty the own one": _replace(lists.PeerLists, "on_announcement", _accepts_any_share),
     "an older list counts": _replace(lists.PeerLists, "on_announcement", _accepts_older_generations),
     "a fixed-sample test": lambda patch: patch.setattr(
@@ -157,6 +171,6 @@
         patch.setattr(where, "proposal_digest", _version_as_digest) for where in (core, guide)
     ][0],
     "own checks left out": _replace(core, "objection", _accepts_any_settings),
-    "bans lost with a snapshot": _replace(book.Book, "restore", _restores_without_bans),
-    "local settings among the shared ones": _replace(own, "share", _shares_local_settings),
+    "bans lost with a snapshot": _replace(book.VersionStore, "restore", _restores_without_bans),
+    "local settings among the shared ones": _replace(own, "shared_part", _shares_local_settings),
 }
--- a/tests/versions/test_parts.py
+++ b/tests/versions/test_parts.py
@@ -15,39 +15,39 @@
 from dykeshift.rig.ruled import worded
 from dykeshift.settings import SettingsError
 from dykeshift.versions import changes, core
-from dykeshift.versions.book import Book, Out, Pages, Phase, Rules, proposal_digest
+from dykeshift.versions.book import VersionStore, Out, StoreState, Phase, Rules, proposal_digest
 from dykeshift.versions.changes import Ban, Drop, Force, Halt, Lists, Middle, Propose, Refuse, Unban, pack
-from dykeshift.versions.checks import Sight, ban_objection, objection
-from dykeshift.versions.force import InForce, word
-from dykeshift.versions.guide import SECOND, Facts, Guide, Options
+from dykeshift.versions.checks import LocalObservations, ban_objection, objection
+from dykeshift.versions.force import SettingsTracker, fleet_agreement
+from dykeshift.versions.guide import SECOND, LogStatus, RolloutLeader, Options
 from dykeshift.versions.lists import PeerLists
-from dykeshift.versions.own import Own, share
-from dykeshift.versions.terms import bolder, contradicts, live
+from dykeshift.versions.own import LocalSettings, shared_part
+from dykeshift.versions.terms import more_permissive, contradicts, active_classes
 from dykeshift.versions.trial import Trial
 from dykeshift.versions.wire import Leaving, Report, Verdict, decode, encode
 from dykeshift.view.wire import DatagramError, Seal
 
-SAFE = share(worded())
-UNSAFE = share(worded(None, {"status-check": {"idempotency": "side_effect"}}, maxAttempts=2))
-FREE = share(worded(None, {"sms-send": {"worth": 5.0}}))
+SAFE = shared_part(worded())
+UNSAFE = shared_part(worded(None, {"status-check": {"idempotency": "side_effect"}}, maxAttempts=2))
+FREE = shared_part(worded(None, {"sms-send": {"worth": 5.0}}))
 
 
 def proposal(text: str = UNSAFE, **more: Any) -> Propose:
     return Propose(msgspec.Raw(text.encode()), **more)
 
 
-def config_store(*entries: changes.Change) -> Book:
-    store = Book()
+def config_store(*entries: changes.Change) -> VersionStore:
+    store = VersionStore()
     for n, entry in enumerate(entries, 1):
         store.apply(n, pack(entry))
     return store
 
 
-def effective_state(store: Book, number: int = 0) -> InForce:
-    return InForce(Own(worded() | {"me": number}), store, number)
+def effective_state(store: VersionStore, number: int = 0) -> SettingsTracker:
+    return SettingsTracker(LocalSettings(worded() | {"me": number}), store, number)
 
 
-FEWER = share({**worded(), "services": worded()["services"][1:]})
+FEWER = shared_part({**worded(), "services": worded()["services"][1:]})
 COMMITTED = (proposal(SAFE), Force(1))  # version 1 is in force, the book has version 2
 
 
@@ -56,7 +56,7 @@
 
 def test_a_proposal_goes_through_its_phases_and_other_changes_are_ignored() -> None:
     store = config_store(*COMMITTED, proposal(), Middle(3))
-    assert store.pages.pending is not None and store.pages.pending.phase is Phase.MIDDLE
+    assert store.state.pending is not None and store.state.pending.phase is Phase.MIDDLE
     ignored: list[changes.Change] = [
         Middle(3),
         Refuse(3, "late"),
@@ -70,49 +70,49 @@
         store.apply(5 + n, pack(change))
         assert without_version(store) == before, change
     store.apply(11, pack(Force(3)))
-    assert (store.pages.rules.version, store.pages.past[0].version) == (3, 1)
+    assert (store.state.rules.version, store.state.past[0].version) == (3, 1)
     assert store.find(1) is not None and store.find(0) is None  # no rollback to the settings of the files
-    assert [o.how for o in store.pages.outcomes] == ["in force", "in force"]
+    assert [o.how for o in store.state.outcomes] == ["in force", "in force"]
 
 
-def without_version(store: Book) -> Pages:
-    return msgspec.structs.replace(store.pages, version=0)
+def without_version(store: VersionStore) -> StoreState:
+    return msgspec.structs.replace(store.state, version=0)
 
 
 def test_a_halt_goes_back_through_the_joint_phase() -> None:
     store = config_store(*COMMITTED, proposal(stages=((0,),)), Middle(3), Force(3, 0), Halt(3, "worse"))
-    assert store.pages.pending is not None and store.pages.pending.phase is Phase.BACK
-    assert effective_state(store).look(1, 1) and effective_mode(store) == "middle"
+    assert store.state.pending is not None and store.state.pending.phase is Phase.BACK
+    assert effective_state(store).update(1, 1) and effective_mode(store) == "middle"
     store.apply(7, pack(Drop(3)))
-    assert store.pages.pending is None and store.outcome(3) is not None
-    assert store.pages.outcomes[-1].reason == "worse" and store.pages.rules.version == 1
+    assert store.state.pending is None and store.outcome(3) is not None
+    assert store.state.outcomes[-1].reason == "worse" and store.state.rules.version == 1
 
 
-def effective_mode(store: Book, number: int = 0, lease: int = 1) -> str:
+def effective_mode(store: VersionStore, number: int = 0, lease: int = 1) -> str:
     force = effective_state(store, number)
-    force.look(1, lease)
-    return force.acts.mode
+    force.update(1, lease)
+    return force.effective.mode
 
 
 def test_a_snapshot_restores_the_state_and_unknown_fields_and_changes_are_ignored() -> None:
     store = config_store(*COMMITTED, Ban("s1", "0"), Lists(wary=("s2",), doubt="refuse"), proposal())
-    restored = Book()
+    restored = VersionStore()
     restored.restore(5, store.snapshot())
-    assert restored.pages == store.pages and restored.pages.out == {"s1": Out(3, "0")}
+    assert restored.state == store.state and restored.state.out == {"s1": Out(3, "0")}
     newer = json.loads(store.snapshot()) | {"moons": 3}
     newer["rules"] |= {"colour": "red"}
     restored.restore(5, json.dumps(newer).encode())
-    assert restored.pages == store.pages
+    assert restored.state == store.state
     restored.apply(6, b'{"do":"paint","colour":"red"}')
     restored.apply(7, b"anything at all")
     assert (
-        restored.strange == 2
-        and restored.pages.version == 7
+        restored.unknown_entries == 2
+        and restored.state.version == 7
         and without_version(restored) == without_version(store)
     )
     unban = b'{"do":"unban","name":"s1","by":"0","colour":"red"}'
     restored.apply(8, unban)
-    assert restored.pages.out == {}
+    assert restored.state.out == {}
 
 
 @settings(derandomize=True, database=None, deadline=None)
@@ -143,11 +143,11 @@
     )
 )
 def test_any_entries_keep_the_state_machine_working(entries: list[bytes]) -> None:
-    store, restored = Book(), Book()
+    store, restored = VersionStore(), VersionStore()
     for n, body in enumerate(entries, 1):
         store.apply(n, body)
         restored.restore(n, store.snapshot())
-        assert restored.pages == store.pages
+        assert restored.state == store.state
         assert effective_mode(store) in ("in force", "middle")
 
 
@@ -156,29 +156,39 @@
 
 def test_without_a_lease_it_is_degraded_from_the_first_look_on() -> None:
     force = effective_state(config_store(*COMMITTED))
-    first = force.look(10, lease_left=5)
-    assert not force.acts.doubtful and force.acts.version == 1
-    assert force.look(11, 1) == first  # nothing has changed
-    stamp = force.look(16, 0, why="cut off")
-    assert stamp != first and force.acts.doubtful and force.acts.why == "cut off" and force.since == 16
-    assert word(force.acts, {}).settings_uncertain
-    assert force.look(17, 9) not in (stamp, first)
+    first = force.update(10, lease_left=5)
+    assert not force.effective.degraded and force.effective.version == 1
+    assert force.update(11, 1) == first  # nothing has changed
+    stamp = force.update(16, 0, why="cut off")
+    assert (
+        stamp != first
+        and force.effective.degraded
+        and force.effective.degraded_reason == "cut off"
+        and force.since == 16
+    )
+    assert fleet_agreement(force.effective, {}).settings_uncertain
+    assert force.update(17, 9) not in (stamp, first)
 
 
 def test_degraded_it_applies_the_narrowest_of_all_known_proposals() -> None:
     force = effective_state(config_store(*COMMITTED, Lists(wary=("s4",))))
     uncommitted = (pack(proposal()), pack(Ban("s5")), b"noise")
-    force.look(1, 0, uncommitted)
-    unsafe = Own(worded()).read(UNSAFE)
-    assert bolder(force.acts.settings, unsafe) == [] and force.acts.settings.attempt_limit == 2
-    assert force.acts.out == {"s5"} and force.acts.wary == {"s4"}
-    assert word(force.acts, {"s4": 4, "s5": 5}).excluded_servers == {4}  # s5 is passed as a ban
+    force.update(1, 0, uncommitted)
+    unsafe = LocalSettings(worded()).read(UNSAFE)
+    assert (
+        more_permissive(force.effective.settings, unsafe) == []
+        and force.effective.settings.attempt_limit == 2
+    )
+    assert force.effective.banned == {"s5"} and force.effective.wary == {"s4"}
+    assert fleet_agreement(force.effective, {"s4": 4, "s5": 5}).excluded_servers == {
+        4
+    }  # s5 is passed as a ban
     pending = effective_state(config_store(*COMMITTED, proposal()))
-    pending.look(1, 0)
-    assert bolder(pending.acts.settings, unsafe) == []
+    pending.update(1, 0)
+    assert more_permissive(pending.effective.settings, unsafe) == []
     refusing = effective_state(config_store(*COMMITTED, Lists(doubt="refuse")))
-    refusing.look(1, 0)
-    assert refusing.acts.closed == set(live(refusing.acts.settings))
+    refusing.update(1, 0)
+    assert refusing.effective.closed == set(active_classes(refusing.effective.settings))
 
 
 def test_stages_and_the_joint_phase() -> None:
@@ -187,9 +197,9 @@
     store.apply(6, pack(Force(3, 1)))
     assert [effective_mode(store, n) for n in (2, 3, 4)] == ["in force", "in force", "middle"]
     force = effective_state(store, 4)
-    force.look(1, 1)
-    assert force.forms()["status-check"] == {
-        live(Own(worded()).read(t))["status-check"].idempotency for t in (SAFE, UNSAFE)
+    force.update(1, 1)
+    assert force.accepted_idempotency()["status-check"] == {
+        active_classes(LocalSettings(worded()).read(t))["status-check"].idempotency for t in (SAFE, UNSAFE)
     }
 
 
@@ -198,12 +208,12 @@
     del incomplete["bounds"]["maxAttempts"]
     store = config_store(*COMMITTED, proposal(json.dumps(incomplete)), Middle(3), Force(3))
     force = effective_state(store)
-    force.look(1, 1)
-    assert force.acts.doubtful and "maxAttempts" in force.acts.why
+    force.update(1, 1)
+    assert force.effective.degraded and "maxAttempts" in force.effective.degraded_reason
 
 
 def test_local_settings_are_not_shared() -> None:
-    one, other = (Own({**worded(), "az": n, "me": n}) for n in (0, 1))
+    one, other = (LocalSettings({**worded(), "az": n, "me": n}) for n in (0, 1))
     assert one.shared == other.shared and one.read(SAFE).zone == 0 and other.read(SAFE).zone == 1
     with pytest.raises(SettingsError, match="no class"):
         one.read(json.dumps({**json.loads(SAFE), "services": []}))
@@ -215,50 +225,56 @@
 @pytest.mark.parametrize(
     "text, sight, expected",
     [
-        (UNSAFE, Sight(), ""),
-        ("{", Sight(), "not JSON"),
-        (FEWER, Sight(inflight={"status-check": 2}), "close it"),
-        (share(worded(None, {"sms-send": {"deadlineNs": 1000}})), Sight(usual={"sms-send": 5e6}), "deadline"),
-        (share(worded(None, None, maxAttempts=4)), Sight(), "more than the 3"),
-        (share(worded(None, None, maxAttempts=1)), Sight(attempts=2), "has had 2"),
-        (share(worded({"balancers": 2})), Sight(at_work=3), "3 are active"),
+        (UNSAFE, LocalObservations(), ""),
+        ("{", LocalObservations(), "not JSON"),
+        (FEWER, LocalObservations(inflight={"status-check": 2}), "close it"),
+        (
+            shared_part(worded(None, {"sms-send": {"deadlineNs": 1000}})),
+            LocalObservations(mean_response_times={"sms-send": 5e6}),
+            "deadline",
+        ),
+        (shared_part(worded(None, None, maxAttempts=4)), LocalObservations(), "more than the 3"),
+        (shared_part(worded(None, None, maxAttempts=1)), LocalObservations(attempts=2), "has had 2"),
+        (shared_part(worded({"balancers": 2})), LocalObservations(active_balancers=3), "3 are active"),
     ],
 )
-def test_each_harmful_proposal_is_refused_with_its_reason(text: str, sight: Sight, expected: str) -> None:
-    own = Own(worded())
+def test_each_harmful_proposal_is_refused_with_its_reason(
+    text: str, sight: LocalObservations, expected: str
+) -> None:
+    own = LocalSettings(worded())
     why = objection(text, own, own.settings, frozenset(), sight)
     assert expected in why if expected else why == ""
 
 
 def test_a_closed_class_may_be_removed_and_the_last_server_may_not_be_banned() -> None:
-    own = Own(worded())
-    sight = Sight(frozenset({1, 2}), {"status-check": 2})
+    own = LocalSettings(worded())
+    sight = LocalObservations(frozenset({1, 2}), {"status-check": 2})
     assert objection(FEWER, own, own.settings, frozenset({"status-check"}), sight) == ""
     assert ban_objection(1, frozenset(), sight) == "" and ban_objection(1, frozenset({2}), sight)
 
 
 # ---- leader ----
 
-LEADING = Facts(True, frozenset({0, 1, 2}))
+LEADING = LogStatus(True, frozenset({0, 1, 2}))
 
 
-def leader_of(store: Book) -> Guide:
-    own = Own(worded())
-    return Guide(
+def leader_of(store: VersionStore) -> RolloutLeader:
+    own = LocalSettings(worded())
+    return RolloutLeader(
         Options(),
         store,
-        lambda p: contradicts(own.read(store.pages.rules.settings), own.read(p.rules.settings)),
+        lambda p: contradicts(own.read(store.state.rules.settings), own.read(p.rules.settings)),
     )
 
 
-def report(store: Book, number: int, verdict: Verdict = Verdict.YES, **more: Any) -> Report:
-    pending = store.pages.pending
+def report(store: VersionStore, number: int, verdict: Verdict = Verdict.YES, **more: Any) -> Report:
+    pending = store.state.pending
     base = Report(
         1,
         7,
         number,
         1,
-        store.pages.version,
+        store.state.version,
         core.proposal_digest(pending.rules) if pending else 0,
         verdict,
         "in force",
@@ -283,7 +299,7 @@
     assert leader.next(3, LEADING) == Middle(3)
     leader.on_report(0, report(store, 2, Verdict.NONE, birth=8))  # a new incarnation has no verdict yet
     assert leader.next(4, LEADING) is None
-    timed_out = leader.next(Options().check + 5, LEADING)
+    timed_out = leader.next(Options().check_timeout + 5, LEADING)
     assert isinstance(timed_out, Refuse) and "1 of 3 balancers have not reported" in timed_out.reason
 
 
@@ -307,7 +323,7 @@
 
 def test_a_conflicting_version_waits_for_the_lease_in_the_joint_phase_and_after_a_halt() -> None:
     store = config_store(*COMMITTED, proposal(), Middle(3))
-    leader, wait = leader_of(store), Options().wait
+    leader, wait = leader_of(store), Options().lease_wait
     assert wait > Options().lease * 1.01
     assert leader.next(100, LEADING) is None and leader.next(100 + wait - 1, LEADING) is None
     assert leader.next(100 + wait, LEADING) == Force(3)
@@ -372,40 +388,40 @@
 
 def peer_lists(running: int = 10, generation: int = 5) -> PeerLists:
     lists = PeerLists(15 * SECOND)
-    lists.on_own(0, generation, frozenset(range(running)), frozenset(range(running)))
+    lists.on_own_list(0, generation, frozenset(range(running)), frozenset(range(running)))
     return lists
 
 
 def test_leaving_servers_of_a_newer_list_are_avoided_for_a_limited_time() -> None:
     lists = peer_lists()
     assert lists.on_announcement(SECOND, 5, (1, 2)) == lists.on_announcement(SECOND, 1, (3,)) == ""
-    assert lists.out(SECOND) == frozenset()  # the same generation, and one of a restarted discovery
-    assert lists.on_announcement(SECOND, 6, (1, 2, 77)) == "" and lists.out(SECOND) == {1, 2}
+    assert lists.avoided(SECOND) == frozenset()  # the same generation, and one of a restarted discovery
+    assert lists.on_announcement(SECOND, 6, (1, 2, 77)) == "" and lists.avoided(SECOND) == {1, 2}
     for again in range(2, 40):
         lists.on_announcement(again * SECOND, 6, (1, 2))
-    assert lists.out(17 * SECOND) == frozenset()  # bounded, however often it is announced
+    assert lists.avoided(17 * SECOND) == frozenset()  # bounded, however often it is announced
     lists.on_announcement(17 * SECOND, 7, (3,))
-    assert lists.out(18 * SECOND) == {3}
-    lists.on_own(19 * SECOND, 7, frozenset(range(10)), frozenset(range(10)))
-    assert lists.out(19 * SECOND) == frozenset()  # the own list has caught up
+    assert lists.avoided(18 * SECOND) == {3}
+    lists.on_own_list(19 * SECOND, 7, frozenset(range(10)), frozenset(range(10)))
+    assert lists.avoided(19 * SECOND) == frozenset()  # the own list has caught up
 
 
 def test_a_peer_s_list_cannot_empty_the_own_one() -> None:
     lists = peer_lists()
     assert "at most 30%" in lists.on_announcement(1, 1000, tuple(range(10)))
-    assert lists.out(1) == frozenset() and lists.ignored == 1
+    assert lists.avoided(1) == frozenset() and lists.ignored == 1
     assert lists.on_announcement(1, 1000, (0, 1, 2)) == "" and lists.on_announcement(2, 1001, (3,)) != ""
-    assert lists.out(2) == {0, 1, 2}
+    assert lists.avoided(2) == {0, 1, 2}
 
 
 def test_leaving_servers_are_announced_and_forwarded() -> None:
     lists = peer_lists()
-    lists.on_own(SECOND, 6, frozenset(range(2, 10)), frozenset(range(1, 10)))  # 1 drains, 0 is gone
+    lists.on_own_list(SECOND, 6, frozenset(range(2, 10)), frozenset(range(1, 10)))  # 1 drains, 0 is gone
     assert lists.announcement(SECOND, 25) == (6, (0, 1))
     other = peer_lists()
     other.on_announcement(SECOND, 6, (0, 1))
     assert other.announcement(SECOND, 25) == (6, (0, 1)) and other.announcement(SECOND, 1) is not None
-    lists.on_own(60 * SECOND, 6, frozenset(range(2, 10)), frozenset(range(1, 10)))
+    lists.on_own_list(60 * SECOND, 6, frozenset(range(2, 10)), frozenset(range(1, 10)))
     assert lists.announcement(60 * SECOND, 25) is None
 
 
--- a/tests/versions/test_ruled.py
+++ b/tests/versions/test_ruled.py
@@ -16,10 +16,10 @@
 from dykeshift.rig.virtual import SECOND
 from dykeshift.versions.book import Phase
 from dykeshift.versions.changes import Ban, Halt, Lists, Propose, Unban
-from dykeshift.versions.own import share
+from dykeshift.versions.own import shared_part
 
-SAFE = share(worded({"balancers": 200}))
-UNSAFE = share(worded({"balancers": 200}, {"status-check": {"idempotency": "side_effect"}}))
+SAFE = shared_part(worded({"balancers": 200}))
+UNSAFE = shared_part(worded({"balancers": 200}, {"status-check": {"idempotency": "side_effect"}}))
 TIMES = Options(voters=3, lease=4 * SECOND, replace=8 * SECOND)
 
 
@@ -35,24 +35,24 @@
 
 def propose(day: Ruled, number: int, text: str = UNSAFE, stages: tuple[tuple[int, ...], ...] = ()) -> int:
     """Propose settings and return their version; the proposal is committed and not applied yet."""
-    book = day.spots[number].view.ruled.book
+    book = day.spots[number].view.ruled.store
     assert day.order(number, Propose(msgspec.Raw(text.encode()), stages=stages)) == ""
-    assert day.run(5, lambda: book.pages.pending is not None)
-    version: int = book.pages.pending.rules.version
+    assert day.run(5, lambda: book.state.pending is not None)
+    version: int = book.state.pending.rules.version
     return version
 
 
 def mode(day: Ruled, number: int) -> str:
     peer = day.spots[number].view
-    peer.ruled.look()
-    return str(peer.ruled.acts.mode)
+    peer.ruled.rules_stamp()
+    return str(peer.ruled.effective.mode)
 
 
 def in_force_at(day: Ruled, version: int) -> set[int]:
     return {
         s.number
         for s in day.up()
-        if mode(day, s.number) == "in force" and s.view.ruled.acts.version == version
+        if mode(day, s.number) == "in force" and s.view.ruled.effective.version == version
     }
 
 
@@ -61,7 +61,7 @@
     day.groups = [frozenset({0, 1, 2, 3}), frozenset({4, 5})]
     version = propose(day, 0)
     assert day.run(30, lambda: in_force_at(day, version) == {0, 1, 2, 3})
-    assert {mode(day, 4), mode(day, 5)} == {"doubtful"} and day.spots[4].view.ruled.acts.why
+    assert {mode(day, 4), mode(day, 5)} == {"doubtful"} and day.spots[4].view.ruled.effective.degraded_reason
     day.mend()
     assert day.run(30, lambda: in_force_at(day, version) == set(range(6)))
     assert day.broken == [] and day.longest["settings"] == 0
@@ -72,11 +72,11 @@
     day.groups = [frozenset({0, 1, 2}), frozenset({3, 4})]
     day.spots[4].view.ruled.ban("s1")
     day.run(8)
-    assert all("s1" not in s.view.ruled.book.pages.out for s in day.spots)
+    assert all("s1" not in s.view.ruled.store.state.out for s in day.spots)
     day.mend()
-    assert day.run(30, lambda: all("s1" in s.view.ruled.acts.out for s in day.spots))
+    assert day.run(30, lambda: all("s1" in s.view.ruled.effective.banned for s in day.spots))
     day.order(0, Unban("s1"))
-    assert day.run(30, lambda: all("s1" not in s.view.ruled.acts.out for s in day.spots))
+    assert day.run(30, lambda: all("s1" not in s.view.ruled.effective.banned for s in day.spots))
     assert day.broken == []
 
 
@@ -88,20 +88,22 @@
     day.carry(spot, spot.view._tick(spot.clock()))
     assert spot.view.proposing is not None
     ruled.unban("s1")
-    assert day.run(5, lambda: "s1" in ruled.acts.out)
+    assert day.run(5, lambda: "s1" in ruled.effective.banned)
     day.run(5)
-    assert all(s.view.ruled.acts.out == frozenset() for s in day.spots) and not ruled.wanted
+    assert all(s.view.ruled.effective.banned == frozenset() for s in day.spots) and not ruled.uncommitted_bans
 
 
 def test_a_ban_that_is_lifted_at_once_is_not_proposed_again() -> None:
     day = world(3)
     ruled = day.spots[2].view.ruled
     ruled.ban("s1")
-    assert day.run(5, lambda: "s1" in day.spots[0].view.ruled.acts.out)
-    ruled.wanted["s1"] = ruled.wanted.get("s1", (Ban("s1", "2"), 1))  # as if it had not run since
+    assert day.run(5, lambda: "s1" in day.spots[0].view.ruled.effective.banned)
+    ruled.uncommitted_bans["s1"] = ruled.uncommitted_bans.get(
+        "s1", (Ban("s1", "2"), 1)
+    )  # as if it had not run since
     day.order(0, Unban("s1"))
     day.run(5)
-    assert all(s.view.ruled.acts.out == frozenset() for s in day.spots) and not ruled.wanted
+    assert all(s.view.ruled.effective.banned == frozenset() for s in day.spots) and not ruled.uncommitted_bans
 
 
 def test_of_two_proposals_on_the_same_version_one_is_rejected() -> None:
@@ -111,7 +113,7 @@
     assert day.order(3, Propose(msgspec.Raw(SAFE.encode()))) == ""
     day.run(5)
     assert sorted(o.ok for o in day.operations[-2:]) == [False, True]
-    assert first.ruled.book.pages == second.ruled.book.pages
+    assert first.ruled.store.state == second.ruled.store.state
     propose(day, 1)
     assert "under way" in day.order(1, Propose(msgspec.Raw(SAFE.encode())))
 
@@ -136,7 +138,7 @@
     assert day.run(30, day.at_rest)
     version = propose(day, 0)
     assert day.run(30, day.at_rest)
-    outcome = day.spots[3].view.ruled.book.outcome(version)
+    outcome = day.spots[3].view.ruled.store.outcome(version)
     assert outcome.how == "refused" and "number 7: settings for 200 balancers, but 300" in outcome.reason
     assert in_force_at(day, 0) == set(range(12))
 
@@ -159,12 +161,12 @@
     day = world(5)
     spot = day.spots[3]
     peer = spot.view
-    stamp = peer.ruled.look()
+    stamp = peer.ruled.rules_stamp()
     day.stop(spot)
     version = propose(day, 0)
     assert day.run(30, lambda: in_force_at(day, version) == {0, 1, 2, 4})
     spot.stopped = False  # resumed, with a decided request about to be sent
-    assert peer.ruled.look() != stamp and peer.ruled.acts.doubtful
+    assert peer.ruled.rules_stamp() != stamp and peer.ruled.effective.degraded
     day.resume(spot)
     assert day.run(30, lambda: len(in_force_at(day, version)) == 5)
     assert day.broken == []
@@ -176,18 +178,18 @@
     day.start(day.spots[4])
     assert mode(day, 4) == "doubtful"
     assert day.run(10, lambda: mode(day, 4) == "in force")
-    assert day.spots[4].view.ruled.acts.version == day.spots[0].view.ruled.acts.version > 0
+    assert day.spots[4].view.ruled.effective.version == day.spots[0].view.ruled.effective.version > 0
 
 
 def test_a_harmful_stage_is_rolled_back() -> None:
     day = world(5)
-    before = day.spots[0].view.ruled.acts.version
+    before = day.spots[0].view.ruled.effective.version
     version = propose(day, 0, stages=((2,), (3, 4)))
     day.harmful.add(version)
     assert day.run(30, lambda: in_force_at(day, version) == {2})
     assert day.run(60, lambda: day.phase(0) is Phase.BACK)
     assert day.run(30, lambda: in_force_at(day, before) == set(range(5)))
-    assert "of its answers are bad" in day.spots[1].view.ruled.book.outcome(version).reason
+    assert "of its answers are bad" in day.spots[1].view.ruled.store.outcome(version).reason
     good = propose(day, 0, stages=((2,), (3, 4)))
     assert day.run(90, lambda: in_force_at(day, good) == set(range(5)))
     assert day.broken == []
@@ -195,7 +197,7 @@
 
 def test_a_halt_by_hand_waits_for_the_lease() -> None:
     day = world(5)
-    before = day.spots[0].view.ruled.acts.version
+    before = day.spots[0].view.ruled.effective.version
     version = propose(day, 0)
     assert day.run(10, lambda: day.phase(0) is Phase.MIDDLE)
     assert day.order(0, Halt(version, "by hand")) == ""
@@ -212,12 +214,12 @@
     day.run(3)
     day.groups = [frozenset({0, 1, 2}), frozenset({3, 4})]
     day.spots[0].view.ruled.ban("s1")
-    assert day.run(10, lambda: "s1" in day.spots[1].view.ruled.acts.out)
+    assert day.run(10, lambda: "s1" in day.spots[1].view.ruled.effective.banned)
     day.run(day.rules.lease / SECOND)
     for n in (3, 4):
-        acts = day.spots[n].view.ruled.acts
+        acts = day.spots[n].view.ruled.effective
         mode(day, n)
-        assert day.spots[n].view.ruled.acts.closed, acts
+        assert day.spots[n].view.ruled.effective.closed, acts
     assert day.broken == []
 
 
--- a/tests/versions/test_terms.py
+++ b/tests/versions/test_terms.py
@@ -17,11 +17,11 @@
 from dykeshift.rules import Balancer
 from dykeshift.versions.terms import (
     FREE,
-    bolder,
+    more_permissive,
     unclassified_fields,
     contradicts,
     differences,
-    live,
+    active_classes,
     meet,
     meet_all,
 )
@@ -83,7 +83,7 @@
         ],
         {
             (c.name, c.idempotency, c.idempotency is Idempotency.KEYED and (c.scope, c.window))
-            for c in live(one).values()
+            for c in active_classes(one).values()
         },
     )
 
@@ -92,12 +92,14 @@
 @given(SETTINGS, SETTINGS, SETTINGS)
 def test_the_joint_settings_are_a_meet(one: Settings, other: Settings, third: Settings) -> None:
     both = meet(one, other)
-    assert bolder(both, one) == bolder(both, other) == []
+    assert more_permissive(both, one) == more_permissive(both, other) == []
     assert guarded(both) == guarded(meet(other, one)) and guarded(meet(both, one)) == guarded(both)
     assert guarded(meet_all([one, other, third])) == guarded(meet(one, meet(other, third)))
     assert not contradicts(one, one) and contradicts(one, other) == contradicts(other, one)
     if not contradicts(one, other):
-        assert bolder(one, other) == bolder(other, one) == []  # without conflict neither allows more
+        assert (
+            more_permissive(one, other) == more_permissive(other, one) == []
+        )  # without conflict neither allows more
 
 
 def test_differences_name_the_fields() -> None:
