--- a/dykeshift/agree/seats.py
+++ b/dykeshift/agree/seats.py
@@ -42,6 +42,7 @@
 
     def quorum_index(self, has: Callable[[Seat], int]) -> int:
         """The highest index that a majority has; in joint consensus, a majority of each configuration."""
+        # In ascending order, more than half of the voters have the index at (n - 1) // 2 or a higher one.
         return min(
             sorted(map(has, side))[(len(side) - 1) // 2] for side in (self.now, self.previous or self.now)
         )
@@ -85,15 +86,16 @@
 ) -> tuple[Seat | None, Seat | None] | None:
     """The seats to remove and to add next; None: no change is due, or no process can take the seat.
 
+    `wanted`: the intended number of seats. `seen`: the answers of processes, by number.
     `eligible`: could have a seat now. `lost`: silent for so long that its seat should go to another.
     `leaving`: about to end. `order`: the numbers that may take a seat, in order of preference.
     """
     taken = {number for number, _ in seats.now}
     for number, incarnation in seats.now:
-        other = seen.get(number)
-        if other is not None and other.incarnation != incarnation and eligible(number, other):
+        status = seen.get(number)
+        if status is not None and status.incarnation != incarnation and eligible(number, status):
             # The process restarted without its state.
-            return (number, incarnation), (number, other.incarnation)
+            return (number, incarnation), (number, status.incarnation)
     newcomer = next(
         ((n, seen[n].incarnation) for n in order if n not in taken and n in seen and eligible(n, seen[n])),
         None,
--- a/dykeshift/agree/state.py
+++ b/dykeshift/agree/state.py
@@ -14,7 +14,8 @@
 from dykeshift.view.table import Address
 from dykeshift.view.wire import MAX_DATAGRAM, Seal
 
-NO_EPOCH: Epoch = (0, 0, 0)  # of a process that knows no history
+# Of a process that knows no history. Parts of an epoch: see `dykeshift.agree.wire.Epoch`.
+NO_EPOCH: Epoch = (0, 0, 0)
 URGENT, REQUEST, MAINTENANCE, BULK = range(4)  # priorities of datagrams, most urgent first
 # Share of the budget that a datagram of this priority must leave for more urgent ones.
 RESERVED_SHARE = {
@@ -46,10 +47,11 @@
     """A notification to consumers, in order.
 
     Kinds: `committed` (version, ident, body), `installed` (the state up to a version: entries before it were
-    not delivered one by one), `role`, `leader`, `answer` (to a proposal), `read`, `lost` (versions after
-    `version` of an abandoned epoch), `stranger` (another history under this fleet's name), `fenced`,
-    `founded`, `forgotten` (this process cannot know which votes and acknowledgements it gave, and takes
-    another incarnation).
+    not delivered one by one), `role` (text: the new role), `leader` (text: its number), `answer`
+    (to a proposal), `read`, `lost` (versions after `version` of an abandoned epoch), `stranger` (another
+    history under this fleet's name), `fenced`, `founded` (this process started an epoch),
+    `forgotten` (this process cannot know which votes and acknowledgements it gave, and takes another
+    incarnation).
     """
 
     kind: str
@@ -122,7 +124,7 @@
         self.alive: set[int] = set(places)  # numbers that the membership view believes alive
         self.epoch = NO_EPOCH
         self.latest_epoch = NO_EPOCH  # the latest epoch of its history that it has heard of
-        self.retiring = False
+        self.retiring = False  # whether this process is about to end; its messages say so
         self.log = Log(Base())
         self.commit = 0
         self.snapshot: Base | None = None  # the base of the next compaction
--- a/dykeshift/configuration/catch_up.py
+++ b/dykeshift/configuration/catch_up.py
@@ -122,6 +122,7 @@
 def pack_position(position: Position) -> bytes:
     """Encode a position; if its key is too long for a datagram, the position before its version."""
     data = _encoder.encode(position)
+    # Without the key, the whole version is sent again.
     if len(data) <= LONGEST_CURSOR:
         return data
     return _encoder.encode(Position(position.floor, position.version - 1, None, position.fresh))
@@ -139,7 +140,7 @@
     return resource.version, resource.key
 
 
-def _is_behind(resource: Resource, position: Position) -> bool:
+def _comes_after(resource: Resource, position: Position) -> bool:
     """Whether a resource comes after a position."""
     if resource.version != position.version:
         return resource.version > position.version
@@ -155,12 +156,13 @@
     else:
         tombstones = (r for r in source.changes_since(position.floor, scope) if not r.live)
         found = sorted([*source.scoped(scope), *tombstones], key=_order)
-    return [r for r in found if _is_behind(r, position) and (r.live or r.version > position.floor)]
+    return [r for r in found if _comes_after(r, position) and (r.live or r.version > position.floor)]
 
 
 def start_of(source: Source, position: Position) -> Position:
     """The position to continue from: the given one, or the beginning if the store cannot continue it."""
     if position.version == 0 or position.version > source.version or source.snapshot_needed(position.floor):
+        # Starting from nothing needs tombstones only for deletions after the present version.
         return Position(floor=source.version)
     return position
 
@@ -179,6 +181,7 @@
         return Part(start, None, source.version, source.digest(scope) & DIGEST_MASK, tuple(left))
     last = left[count - 1]
     after = Position(start.floor, last.version, last.key, start.fresh)
+    # Only the last part carries the digest of the scope.
     return Part(start, after, source.version, 0, tuple(left[:count]))
 
 
@@ -210,6 +213,7 @@
             self.resources[resource.key] = resource
         self.size += sum(_footprint(resource) for resource in part.resources)
         self.position = part.after if part.after is not None else self.position
+        # A restart that is complete in one part keeps the floor of its start; `reset` has set it to 0.
         if restarts and part.after is None:
             self.position = part.start
         return part.after is None
@@ -217,6 +221,7 @@
     def _without_shown(self, part: Part) -> Part:
         """Drop resources that are already shown from a part that was built for an earlier shown version."""
         shown, start = self.position.version, part.start
+        # Only if nothing is staged and the part starts at a shown version, not in the middle of a catch-up.
         if self.position != shown_position(shown) or start != shown_position(start.version):
             return part
         if start.fresh or not start.version < shown <= part.target:
@@ -227,7 +232,7 @@
     def _check(self, part: Part, restarts: bool) -> None:
         previous = part.start
         for resource in part.resources:
-            if not _is_behind(resource, previous) or resource.version > part.target:
+            if not _comes_after(resource, previous) or resource.version > part.target:
                 raise PartError(f"{resource.key} is out of order")
             if not self._in_scope(resource):
                 raise PartError(f"{resource.key} is outside the scope")
--- a/dykeshift/shares/loans.py
+++ b/dykeshift/shares/loans.py
@@ -1,7 +1,7 @@
-"""One balancer's allocation of each limit, with units lent and borrowed by leases (pairwise escrow).
+"""One balancer's allocation of each limit, with units lent and borrowed between pairs by leases.
 
-A limit is a number of units that all balancers together may use. Each balancer has an allocation of it (its
-*deed*), set from outside by `on_deed`; the allocations add up to the limit at most. A balancer that needs
+A limit is a number of units that all balancers together may use. Each balancer has an allocation of it,
+set from outside by `on_allocation`; the allocations add up to the limit at most. A balancer that needs
 more than it has asks others, and one that has more than it needs lends. The lender lowers its own part before
 the borrower raises its own: lent units are unavailable to the lender from the moment of the grant, whether or
 not the grant arrives. For the borrower a loan ends `lease` after its *request* (less drift), for the lender
@@ -14,8 +14,8 @@
  3. After a start without state a balancer does not lend, and uses its floor only, until all loans of its
     earlier incarnation have ended. The floor (a part of the allocation) is never lent, so no balancer with
     clients is left without units.
- 4. After an allocation is lowered, loans beyond it end within `settle`: wait that long before another
-    allocation is raised in return.
+ 4. After an allocation is lowered, loans beyond it end within `settle`. Whoever sets the allocations must
+    wait that long before raising another one in return.
 """
 
 from __future__ import annotations
@@ -171,7 +171,11 @@
             if loan.limit == limit and loan.amount <= excess:
                 excess -= loan.amount
                 self._drop(token)
-                self.open_requests = {q: one for q, one in self.open_requests.items() if one[0] != token}
+                self.open_requests = {
+                    request_id: request
+                    for request_id, request in self.open_requests.items()
+                    if request[0] != token
+                }
                 out.append((Return(self.number, self.birth, token), loan.peer))
         return out
 
@@ -200,7 +204,7 @@
         if isinstance(message, Grant):
             self._on_grant(now, message)
         else:
-            self._on_back(message)
+            self._on_return(message)
         return []
 
     def _on_ask(self, now: int, ask: Ask) -> list[tuple[Message, int]]:
@@ -239,7 +243,7 @@
             loan.expires_at = max(loan.expires_at, expires_at)
         heappush(self.expirations, (expires_at, False, 0, grant.token))
 
-    def _on_back(self, back: Return) -> None:
-        loan = self.lent.pop((back.birth, back.token), None)
+    def _on_return(self, message: Return) -> None:
+        loan = self.lent.pop((message.birth, message.token), None)
         if loan is not None:
             self.holdings[loan.limit].lent -= loan.amount
--- a/dykeshift/versions/own.py
+++ b/dykeshift/versions/own.py
@@ -13,12 +13,12 @@
 
 
 class LocalSettings:
-    """The local settings of this balancer and those of its file.
+    """The local settings of this balancer, and the complete settings of its configuration file.
 
-    The settings of the file apply as long as no version has ever been in force."""
+    The settings of the file apply until a version is in force for the first time."""
 
     def __init__(self, raw: dict[str, Any]) -> None:
-        """Takes the settings of its file, with the protocol's keys; raises SettingsError if invalid."""
+        """Takes the parsed configuration file, with the protocol's keys; raises SettingsError if invalid."""
         self.local = {name: raw[name] for name in LOCAL_KEYS if name in raw}
         self.shared = shared_part(raw)
         self.settings = parse_settings(raw)
--- a/dykeshift/versions/terms.py
+++ b/dykeshift/versions/terms.py
@@ -1,13 +1,13 @@
 """Conflicts between settings: which values of a field may be in use at once, and the narrower one.
 
 There are three kinds of fields. `OWN`: local to each balancer; no rule spans several balancers. `FREE`: a
-target or preference; any two values may be in use at the same time, as neither allows what the other forbids.
+goal or preference; any two values may be in use at the same time, as neither allows what the other forbids.
 `GUARDED`: one value may allow what another forbids. Two settings that differ in a guarded field *contradict*
 one another. Their *meet* (the joint settings) has, field by field, the value that allows only what both
 allow, so a balancer that applies it violates neither, and it may be in use beside both.
 
 The meet is commutative and idempotent and never more permissive than either operand. The property tests check
-the tables by this, with `bolder`.
+the tables by this, with `more_permissive`.
 """
 
 from __future__ import annotations
@@ -69,8 +69,8 @@
     "overload_window": FieldRule(GUARDED, "how long a server may be overloaded: the shorter time", min),
     "answer_slack": FieldRule(GUARDED, "how late a final answer may be: the earlier", min),
     "retry_advice_limit": FieldRule(FREE, "a client that gets a shorter retry delay only returns earlier"),
-    "worth_by_work": FieldRule(FREE, "a target"),
-    "fairness": FieldRule(FREE, "a target"),
+    "worth_by_work": FieldRule(FREE, "a goal; any value is harmless beside another"),
+    "fairness": FieldRule(FREE, "a goal; any value is harmless beside another"),
 }
 
 CLASS: dict[str, FieldRule] = {
@@ -80,10 +80,10 @@
     ),
     "scope": FieldRule(GUARDED, "where repeats are deduplicated: the narrower; zone with cell gives unsafe"),
     "window": FieldRule(GUARDED, "how long repeats are deduplicated: the shorter time", min),
-    "aim": FieldRule(FREE, "a target"),
+    "aim": FieldRule(FREE, "a goal; any value is harmless beside another"),
     "deadline": FieldRule(FREE, "each request carries its own time-out, set by its client"),
-    "worth": FieldRule(FREE, "a target"),
-    "late_share": FieldRule(FREE, "a target"),
+    "worth": FieldRule(FREE, "a goal; any value is harmless beside another"),
+    "late_share": FieldRule(FREE, "a goal; any value is harmless beside another"),
     "stream": FieldRule(FREE, "whether long answers are expected"),
 }
 
@@ -112,9 +112,9 @@
     classes = [restrict_repeats(c, second[name]) if name in second else c for name, c in first.items()]
     classes += [c for name, c in second.items() if name not in first]
     changed = {
-        name: term.meet(getattr(one, name), getattr(other, name))
-        for name, term in SETTINGS.items()
-        if term.meet is not None
+        name: rule.meet(getattr(one, name), getattr(other, name))
+        for name, rule in SETTINGS.items()
+        if rule.meet is not None
     }
     return replace(one, classes=tuple(classes), retired=frozenset(), **changed)
 
@@ -132,16 +132,16 @@
     """Returns the names of the fields of a kind that differ; a class that only one has counts as equal."""
     found = [
         name
-        for name, term in SETTINGS.items()
-        if term.kind is kind and name != "classes" and getattr(one, name) != getattr(other, name)
+        for name, rule in SETTINGS.items()
+        if rule.kind is kind and name != "classes" and getattr(one, name) != getattr(other, name)
     ]
     second = active_classes(other)
     for name, klass in active_classes(one).items():
         if name in second:
             found += [
                 f"{name}.{field}"
-                for field, term in CLASS.items()
-                if term.kind is kind
+                for field, rule in CLASS.items()
+                if rule.kind is kind
                 and _applies(klass, second[name], field)
                 and getattr(klass, field) != getattr(second[name], field)
             ]
--- a/tests/agree/defects.py
+++ b/tests/agree/defects.py
@@ -91,11 +91,11 @@
 
 
 def _both(one: Defect, other: Defect) -> Defect:
-    def undo(patch: pytest.MonkeyPatch) -> None:
+    def apply_both(patch: pytest.MonkeyPatch) -> None:
         one(patch)
         other(patch)
 
-    return undo
+    return apply_both
 
 
 def _votes_for_any_log(self: voting.Voter, index: int, term: int) -> bool:
@@ -140,7 +140,7 @@
 
 
 def _never_fenced(self: core.Agree, now: int, message: Message, address: Address) -> None:
-    """Goes on in its own epoch, whatever it receives."""
+    """Continues in its own epoch although a message of a later one arrives."""
     if self.shared.blank:
         _follow(self, now, message, address)
 
--- a/tests/configuration/subscriber_defects.py
+++ b/tests/configuration/subscriber_defects.py
@@ -223,7 +223,7 @@
         transfer.Receiver, "following", property(_complete_is_applied)
     ),
     "the digest is not checked": patched(SubscriberState, "change", _no_digest),
-    "resumes after the rest of a version": patched(catch_up, "_is_behind", _skips_the_rest_of_a_version),
+    "resumes after the rest of a version": patched(catch_up, "_comes_after", _skips_the_rest_of_a_version),
     "tombstones are not sent": patched(catch_up, "remaining", _without_tombstones),
     "resumes where tombstones are compacted": patched(catch_up, "start_of", _ignores_the_floor),
     "retransmissions are not charged": patched(Replica, "_send_chunks_of", _free_repetitions),
--- a/tests/sim/test_referee.py
+++ b/tests/sim/test_referee.py
@@ -100,7 +100,7 @@
         assert checker.broken_rules() == want
 
 
-def test_a_proof_on_another_connection_proves_nothing() -> None:
+def test_a_proof_on_another_connection_does_not_allow_a_retry() -> None:
     checker = RefereeHarness()
     checker.ask()
     checker.send(connection=1)
@@ -109,7 +109,7 @@
     assert checker.broken_rules() == [rules.UNSAFE_AGAIN]
 
 
-def test_a_keyed_request_stays_in_its_rack_and_window() -> None:
+def test_a_keyed_request_stays_in_its_cell_and_window() -> None:
     window = Terms().window
     for cell, at, address_reused, want in (
         (0, window, False, []),
--- a/tests/sim/test_scenario.py
+++ b/tests/sim/test_scenario.py
@@ -35,7 +35,7 @@
         assert all(f.at > 0 and f.at + f.length <= FAULTS_END + 1e-6 for f in draw(str(seed)).faults)
 
 
-def test_without_removes_parts_and_keeps_the_rest() -> None:
+def test_without_removes_the_given_faults_and_requests_only() -> None:
     scenario = draw("3")
     less = scenario.without({0}, {1, 2})
     assert less.faults == scenario.faults[1:] and less.asks == scenario.asks[:1] + scenario.asks[3:]
