--- a/dykeshift/cli/check.py
+++ b/dykeshift/cli/check.py
@@ -93,7 +93,7 @@
     view = on.get("dykeshift.node.view")
     if versions is None or agree is None or view is None:
         return {}
-    found: dict[str, float] = versions[0].times(versions[1], agree[1].lease_s, view[1].drift)
+    found: dict[str, float] = versions[0].timing_bounds(versions[1], agree[1].lease_s, view[1].drift)
     return found
 
 
--- a/dykeshift/settings.py
+++ b/dykeshift/settings.py
@@ -46,9 +46,12 @@
 
 
 def positive_int(value: Any, what: str) -> int:
-    """A number above zero, truncated to an integer; raises `SettingsError` for others, also true and NaN."""
+    """A number above zero, truncated to an integer; raises `SettingsError` for others, also true and NaN.
+
+    The text of the error is stored data: replicas keep it as a reason in their state, so it stays as it is.
+    """
     if type(value) not in (int, float) or not math.isfinite(value) or int(value) <= 0:
-        raise SettingsError(f"{what} is {value!r}, expected a positive number")
+        raise SettingsError(f"{what} is {value!r}, and a positive number is wanted")
     return int(value)
 
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize(
     ("change", "finding"),
     [
-        ({"listen": "nowhere"}, "error: 'nowhere' is no address"),
+        ({"listen": "nowhere"}, "error: 'nowhere' is not an address of the form host:port"),
         ({"settings": {}}, "error: settings lack settings.bounds"),
         ({"known": {"generation": "x", "reset": True, "instances": []}}, "error: known: "),
         ({"colour": 1}, "doubtful: the key 'colour'"),
--- a/tests/cli/test_mllp.py
+++ b/tests/cli/test_mllp.py
@@ -173,7 +173,7 @@
         ("[mlp]\n", "there is no feature [mlp]"),
         ("[mllp]\ncolour = 1", "unknown field `colour`"),
         ("[mllp]\nconnections = 'x'", "Expected `int`, got `str`"),
-        ("[mllp]\nlisten = ['x']", "no address"),
+        ("[mllp]\nlisten = ['x']", "is not an address of the form host:port"),
         ("[mllp]\nlisten = ['127.0.0.1:1']", "map is empty"),
         ("[mllp]\nconnections = 0", "connections is 0"),
         ("[mllp\n", "bad feature file"),
@@ -207,7 +207,7 @@
 def test_what_is_off_is_not_imported() -> None:
     script = (
         "import sys\nfrom dykeshift.node import features, __main__\n"
-        "assert not features.load('deploy/lifttrail.toml', False, None).parts\n"
+        "assert not features.load('deploy/lifttrail.toml', False, None).enabled\n"
         "print([m for m in sys.modules if m.startswith(('dykeshift.mllp', 'dykeshift.store', 'msgspec',"
         " 'structlog', 'tomllib'))])"
     )
--- a/tests/cli/test_rig.py
+++ b/tests/cli/test_rig.py
@@ -21,7 +21,7 @@
         (["rig", "run", "x.toml", "--seeds", "1"], "one of them"),
         (["rig", "run", "nowhere.toml"], "cannot read"),
         (["rig", "run", "--seeds", "b"], "range of seeds"),
-        (["fleet", "members", "--at", "here"], "no address"),
+        (["fleet", "members", "--at", "here"], "is not an address of the form host:port"),
     ],
 )
 def test_what_cannot_be_done_is_a_line_and_exit_2(
--- a/tests/faults/test_failing_folder.py
+++ b/tests/faults/test_failing_folder.py
@@ -35,7 +35,7 @@
                     lambda: any(p.name.startswith("lifttrail-serving-") for p in shared.iterdir())
                 )
                 assert "Traceback" not in balancer.log()
-                assert share < 1.0 or balancer.log().count("can't be used") == 1
+                assert share < 1.0 or balancer.log().count("cannot be used") == 1
                 balancer.process.terminate()
                 assert await balancer.ended() == 0
 
--- a/tests/faults/test_process_end.py
+++ b/tests/faults/test_process_end.py
@@ -147,7 +147,7 @@
             path.write_text(json.dumps({**given, "settings": deadlines(0.8 * change)}))
             if before:
                 ending.signal(signal.SIGHUP)
-                await wait_until(lambda: "discovery is the same" in balancer.log())
+                await wait_until(lambda: "the address of discovery is unchanged" in balancer.log())
             ending.terminate()
             for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
                 ending.signal(number)
