--- a/dykeshift/configuration/joint_campaign.py
+++ b/dykeshift/configuration/joint_campaign.py
@@ -63,7 +63,7 @@
         super().__init__(tier)
         self.reference = JointHistory(list(set(tier.scopes.values())))
 
-    def _learn(self, host: Host) -> None:
+    def _record_commits(self, host: Host) -> None:
         min_version = self.reference.min_version
         super()._record_commits(host)
         if self.reference.min_version > min_version:
--- a/dykeshift/rig/ruled_baselines.py
+++ b/dykeshift/rig/ruled_baselines.py
@@ -94,8 +94,8 @@
 class Boldly(SettingsTracker):
     """Acts on what it has, with a lease or without."""
 
-    def look(self, now: int, lease_left: int, heard: tuple[bytes, ...] = (), why: str = "") -> int:
-        """Look as if the lease had time left."""
+    def update(self, now: int, lease_left: int, uncommitted: tuple[bytes, ...] = (), why: str = "") -> int:
+        """Compute the settings as if the lease had time left."""
         return super().update(now, 1)
 
 
