--- a/dykeshift/engine/invariants.py
+++ b/dykeshift/engine/invariants.py
@@ -73,11 +73,11 @@
 
     def violated(self, invariant: Invariant, request_id: str) -> None:
         """Count and log an operation that would violate an invariant; the caller does not carry it out."""
-        self._log(invariant, request_id, "kept from happening: %s (request %s)")
+        self._log(invariant, request_id, "prevented a violation of: %s (request %s)")
 
     def broken(self, invariant: Invariant, request_id: str) -> None:
         """Count and log a violation that could not be prevented."""
-        self._log(invariant, request_id, "not kept: %s (request %s)")
+        self._log(invariant, request_id, "violated: %s (request %s)")
 
     def _log(self, invariant: Invariant, request_id: str, text: str) -> None:
         self.violations[invariant] += 1
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -42,8 +42,8 @@
 HANGING_SENDER_SHARES = (0.0, 0.0, 0.25, 0.5, 1.0)  # of senders, between SIGTERM and SIGKILL
 INTERNAL_ERROR_TEXTS = (  # in the log of a daemon: a crash or a violated invariant
     "Traceback",
-    "kept from happening",
-    "not kept",
+    "prevented a violation of: ",
+    "violated: ",
     "Exception in",
 )
 
--- a/tests/test_lint_debt.py
+++ b/tests/test_lint_debt.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-LONGEST = 56  # files listed; lower it when the list gets shorter
+LONGEST = 3  # files listed; lower it when the list gets shorter
 
 
 def listed_files() -> dict[str, set[str]]:
